--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DepartureLedger.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DepartureTracker.java
@@ -18,7 +18,7 @@
  *
  * @since 0.2
  */
-public final class DepartureLedger {
+public final class DepartureTracker {
 
   /** Bounds the memory, also if every target of a large fleet leaves. */
   static final int MOST_TARGETS = 1_024;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DeputyChoice.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DeputySelector.java
@@ -16,7 +16,7 @@
  *
  * @since 0.2
  */
-public final class DeputyChoice {
+public final class DeputySelector {
 
   /**
    * How many deputies a fleet has. The probability that all of them are among gateways lost at
@@ -38,7 +38,7 @@
    */
   public record Candidate(String address, DataCentreId dataCentre, double processorCores) {}
 
-  private DeputyChoice() {}
+  private DeputySelector() {}
 
   /**
    * Chooses deputies. The same candidates give the same choice, in whatever order.
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/FleetTarget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/FleetTarget.java
@@ -52,7 +52,7 @@
    * @param other the other registration; may be null
    * @return true if only the remaining cold time differs, or nothing
    */
-  public boolean routesLike(FleetTarget other) {
+  public boolean hasSameRouting(FleetTarget other) {
     return other != null
         && id.equals(other.id)
         && service.equals(other.service)
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetRegister.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetRegister.java
@@ -42,7 +42,7 @@
       return false;
     }
     targets.put(target.id(), target);
-    boolean changed = !target.routesLike(before);
+    boolean changed = !target.hasSameRouting(before);
     if (changed) {
       version++;
     }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseDesk.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
@@ -25,7 +25,7 @@
  *
  * @since 0.2
  */
-public final class LeaseDesk {
+public final class LeaseManager {
 
   /** Stands for any target at all; no order can reach it. */
   private static final TargetId UNKNOWN_OWNER = new TargetId("unknown-owner");
@@ -33,7 +33,7 @@
   private final ServiceId service;
   private final LeaseTimings timings;
   private final LongSupplier tokens;
-  private final HeldRanges ranges = new HeldRanges();
+  private final LeasedRanges ranges = new LeasedRanges();
   private long version;
   private long writtenVersion;
   private boolean cleanupPending;
@@ -48,7 +48,7 @@
    * @param tokens gives fencing tokens, each above all that were given before, by any holder; not
    *     null
    */
-  public LeaseDesk(ServiceId service, LeaseTimings timings, LongSupplier tokens) {
+  public LeaseManager(ServiceId service, LeaseTimings timings, LongSupplier tokens) {
     this.service = service;
     this.timings = timings;
     this.tokens = tokens;
@@ -68,7 +68,7 @@
     long token = tokens.getAsLong();
     version++;
     for (RangeAssignment assignment : table.assignments()) {
-      HeldRange held = new HeldRange(assignment.range(), assignment.owner(), token, version);
+      LeasedRange held = new LeasedRange(assignment.range(), assignment.owner(), token, version);
       held.assumeForeignLease(foreignUntilMs);
       for (TargetId id : assignment.previousOwners()) {
         long longestMs = Math.max(0, foreignUntilMs - nowMs);
@@ -100,7 +100,7 @@
    * @param nowMs the time; milliseconds
    */
   public void limitForeignLeases(List<LeaseLeft> leases, long nowMs) {
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       held.limitForeign(target -> nowMs + longestLeft(leases, held.range(), target));
     }
   }
@@ -126,7 +126,7 @@
    */
   public List<LeaseLeft> leasesLeft(long nowMs) {
     List<LeaseLeft> result = new ArrayList<>();
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       addLeft(held.range(), held.owner(), held.ownerUntilMs() - nowMs, result);
       held.previousOwners()
           .forEach((id, past) -> addLeft(held.range(), id, past.untilMs() - nowMs, result));
@@ -155,7 +155,7 @@
       slotsBefore += target.slots();
       int last = boundary(slotsBefore, slots) - 1;
       if (first <= last) {
-        ranges.add(new HeldRange(new KeyRange(first, last), target.id(), token, version));
+        ranges.add(new LeasedRange(new KeyRange(first, last), target.id(), token, version));
       }
     }
     routesChanged = true;
@@ -185,7 +185,7 @@
     ranges.cutOut(keys);
     version++;
     long token = tokens.getAsLong();
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       if (keys.contains(held.range()) && !held.owner().equals(to)) {
         held.reassign(to, token, version, nowMs);
       }
@@ -208,7 +208,7 @@
    * @param usable tells whether a target may own keys; not null
    * @return never null
    */
-  public List<KeyRange> rangesOfOthers(Predicate<TargetId> usable) {
+  public List<KeyRange> rangesWithUnusableOwner(Predicate<TargetId> usable) {
     return ranges.ofOthers(usable);
   }
 
@@ -235,7 +235,7 @@
    */
   public boolean onRestarted(TargetId run) {
     boolean takesOver = false;
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       takesOver |= held.onRestarted(run);
     }
     routesChanged |= takesOver;
@@ -250,7 +250,7 @@
    */
   public void setOutage(boolean now) {
     if (now && !outage) {
-      ranges.forEach(HeldRange::renewSoon);
+      ranges.forEach(LeasedRange::renewSoon);
     }
     outage = now;
   }
@@ -264,8 +264,8 @@
    */
   public List<LeaseOrder> due(long nowMs, Predicate<TargetId> mayAsk) {
     List<LeaseOrder> orders = new ArrayList<>();
-    List<HeldRange> toGrant = new ArrayList<>();
-    for (HeldRange held : ranges) {
+    List<LeasedRange> toGrant = new ArrayList<>();
+    for (LeasedRange held : ranges) {
       if (held.neededVersion() > writtenVersion) {
         continue;
       }
@@ -276,8 +276,8 @@
       }
     }
     // Orders under way are bounded: those without a lease, then those that lose it first.
-    toGrant.sort(Comparator.comparingLong(HeldRange::renewedUntilMs));
-    for (HeldRange held : toGrant) {
+    toGrant.sort(Comparator.comparingLong(LeasedRange::renewedUntilMs));
+    for (LeasedRange held : toGrant) {
       if (mayAsk.test(held.owner())) {
         orders.add(grant(held, nowMs));
       }
@@ -290,12 +290,12 @@
    * holder has no more to send a second.
    */
   private long renewMs() {
-    long spreadMs = ranges.size() * timings.sendMs();
-    return Math.min(timings.longestRenewMs(), Math.max(timings.renewMs(), spreadMs));
+    long spreadMs = ranges.size() * timings.renewalCostMs();
+    return Math.min(timings.maxRenewMs(), Math.max(timings.renewMs(), spreadMs));
   }
 
   private void addReleases(
-      HeldRange held, long nowMs, Predicate<TargetId> mayAsk, List<LeaseOrder> orders) {
+      LeasedRange held, long nowMs, Predicate<TargetId> mayAsk, List<LeaseOrder> orders) {
     for (Map.Entry<TargetId, PreviousOwner> entry : held.previousOwners().entrySet()) {
       boolean known = !entry.getKey().equals(UNKNOWN_OWNER);
       if (known && entry.getValue().isReleaseDue(nowMs) && mayAsk.test(entry.getKey())) {
@@ -306,7 +306,7 @@
     }
   }
 
-  private LeaseOrder.Grant grant(HeldRange held, long nowMs) {
+  private LeaseOrder.Grant grant(LeasedRange held, long nowMs) {
     held.useFreshToken(tokens);
     long leaseMs = outage ? timings.outageLeaseMs() : timings.leaseMs();
     held.onGrantSent(nowMs + timings.boundMs(leaseMs));
@@ -328,7 +328,7 @@
     noteEnded(order, outcome, sentMs);
     long nextMs = outcome == OrderOutcome.DONE ? sentMs + renewMs() : nowMs + timings.retryMs();
     boolean opened = false;
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       if (!order.range().contains(held.range())) {
         continue;
       }
@@ -358,7 +358,7 @@
       LeaseOrder.Release order, OrderOutcome outcome, Optional<String> handover, long nowMs) {
     noteEnded(order, outcome, ranges.releaseSentMs(order));
     long nextMs = nowMs + timings.retryMs();
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       if (!order.range().contains(held.range()) || held.token() != order.token()) {
         continue;
       }
@@ -385,12 +385,12 @@
    * @return true until {@link #renewTokens()} is called
    */
   public boolean hasStaleTokens() {
-    return ranges.any(HeldRange::isStale);
+    return ranges.any(LeasedRange::isStale);
   }
 
   /** Goes on with higher tokens where ours were stale, once the term is confirmed. */
   public void renewTokens() {
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       if (held.isStale()) {
         held.restartWith(tokens.getAsLong());
       }
@@ -403,8 +403,8 @@
    *
    * @param nowMs the time; milliseconds
    */
-  public void joinNeighbours(long nowMs) {
-    ranges.joinNeighbours(nowMs, tokens);
+  public void mergeAdjacentRanges(long nowMs) {
+    ranges.mergeAdjacentRanges(nowMs, tokens);
   }
 
   /**
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseOrder.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseOrder.java
@@ -47,7 +47,7 @@
    *
    * @return true while the term is not confirmed
    */
-  boolean sameRunOnly();
+  boolean knownConnectionOnly();
 
   /**
    * Grants or renews a lease.
@@ -58,7 +58,7 @@
    * @param token the fencing token
    * @param leaseMs how long it runs; milliseconds
    * @param handover what the previous owner passed on; not null
-   * @param sameRunOnly see {@link LeaseOrder#sameRunOnly()}
+   * @param knownConnectionOnly see {@link LeaseOrder#knownConnectionOnly()}
    */
   record Grant(
       ServiceId service,
@@ -67,7 +67,7 @@
       long token,
       long leaseMs,
       Optional<String> handover,
-      boolean sameRunOnly)
+      boolean knownConnectionOnly)
       implements LeaseOrder {}
 
   /**
@@ -77,9 +77,9 @@
    * @param target the receiver; not null
    * @param range the keys; not null
    * @param token the fencing token of the next owner, so that late grants are refused
-   * @param sameRunOnly see {@link LeaseOrder#sameRunOnly()}
+   * @param knownConnectionOnly see {@link LeaseOrder#knownConnectionOnly()}
    */
   record Release(
-      ServiceId service, TargetId target, KeyRange range, long token, boolean sameRunOnly)
+      ServiceId service, TargetId target, KeyRange range, long token, boolean knownConnectionOnly)
       implements LeaseOrder {}
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseTimings.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseTimings.java
@@ -7,8 +7,8 @@
  * @param outageLeaseMs how long it runs if it was granted while the store did not answer: nobody
  *     may be able to renew it for as long as that lasts
  * @param renewMs pause between two renewals
- * @param longestRenewMs the same if there are so many leases that the holder needs more time
- * @param sendMs time that the holder takes for one renewal at a bearable load
+ * @param maxRenewMs the same if there are so many leases that the holder needs more time
+ * @param renewalCostMs time that the holder takes for one renewal at a bearable load
  * @param retryMs pause before an order that got no answer is sent again
  * @param clockDrift by how much a target's clock may run slow, as a share
  * @param marginMs added to every bound on another process's lease, for timers that fire late
@@ -19,8 +19,8 @@
     long leaseMs,
     long outageLeaseMs,
     long renewMs,
-    long longestRenewMs,
-    long sendMs,
+    long maxRenewMs,
+    long renewalCostMs,
     long retryMs,
     double clockDrift,
     long marginMs,
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/HeldRange.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
@@ -10,7 +10,7 @@
 import java.util.function.ToLongFunction;
 
 /** One range, as the holder of the term sees it. */
-final class HeldRange {
+final class LeasedRange {
 
   private final KeyRange range;
   private final Map<TargetId, PreviousOwner> previousOwners = new LinkedHashMap<>();
@@ -38,7 +38,7 @@
 
   private long unansweredUntilMs;
 
-  HeldRange(KeyRange range, TargetId owner, long token, long neededVersion) {
+  LeasedRange(KeyRange range, TargetId owner, long token, long neededVersion) {
     this.range = range;
     this.owner = owner;
     this.token = token;
@@ -46,8 +46,8 @@
   }
 
   /** Returns the same state for other keys: a part of these, or these and their neighbours. */
-  HeldRange withKeys(KeyRange keys) {
-    HeldRange copy = new HeldRange(keys, owner, token, neededVersion);
+  LeasedRange withKeys(KeyRange keys) {
+    LeasedRange copy = new LeasedRange(keys, owner, token, neededVersion);
     previousOwners.forEach((id, previous) -> copy.previousOwners.put(id, previous.copy()));
     copy.handover = handover;
     copy.granted = granted;
@@ -274,15 +274,15 @@
   }
 
   /** Tells whether a neighbour is in the same state, so that one lease can serve both. */
-  boolean joins(HeldRange next, long nowMs) {
+  boolean joins(LeasedRange next, long nowMs) {
     return owner.equals(next.owner)
         && isSettled(nowMs)
         && next.isSettled(nowMs)
         && range.last() + 1 == next.range.first();
   }
 
-  HeldRange joinedWith(HeldRange next) {
-    HeldRange joined = withKeys(new KeyRange(range.first(), next.range.last()));
+  LeasedRange joinedWith(LeasedRange next) {
+    LeasedRange joined = withKeys(new KeyRange(range.first(), next.range.last()));
     joined.leases = leases.joinedWith(next.leases);
     joined.foreignUntilMs = Math.max(foreignUntilMs, next.foreignUntilMs);
     joined.neededVersion = Math.max(neededVersion, next.neededVersion);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/HeldRanges.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRanges.java
@@ -13,13 +13,13 @@
 /**
  * The ranges of one service in the order of their keys: how they are cut, joined and listed.
  *
- * <p>Which orders a range needs is the matter of {@link LeaseDesk}.
+ * <p>Which orders a range needs is the matter of {@link LeaseManager}.
  */
-final class HeldRanges implements Iterable<HeldRange> {
+final class LeasedRanges implements Iterable<LeasedRange> {
 
-  private List<HeldRange> ranges = new ArrayList<>();
+  private List<LeasedRange> ranges = new ArrayList<>();
 
-  void add(HeldRange held) {
+  void add(LeasedRange held) {
     ranges.add(held);
   }
 
@@ -31,14 +31,14 @@
     return ranges.isEmpty();
   }
 
-  boolean any(Predicate<HeldRange> condition) {
+  boolean any(Predicate<LeasedRange> condition) {
     return ranges.stream().anyMatch(condition);
   }
 
   /** Returns when a release was sent; 0 if nothing waits for its answer any more. */
   long releaseSentMs(LeaseOrder.Release order) {
     long sentMs = 0;
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       PreviousOwner previous = held.previousOwners().get(order.target());
       if (previous != null && held.token() == order.token()) {
         sentMs = previous.releaseSentMs();
@@ -48,14 +48,14 @@
   }
 
   @Override
-  public Iterator<HeldRange> iterator() {
+  public Iterator<LeasedRange> iterator() {
     return ranges.iterator();
   }
 
   /** Cuts ranges so that none lies partly in the given one. */
   void cutOut(KeyRange keys) {
-    List<HeldRange> cut = new ArrayList<>();
-    for (HeldRange held : ranges) {
+    List<LeasedRange> cut = new ArrayList<>();
+    for (LeasedRange held : ranges) {
       KeyRange range = held.range();
       int from = Math.max(range.first(), keys.first());
       int to = Math.min(range.last(), keys.last());
@@ -75,16 +75,16 @@
   }
 
   /** Joins neighbours of one owner on which nothing is under way. */
-  void joinNeighbours(long nowMs, LongSupplier tokens) {
-    List<HeldRange> joined = new ArrayList<>();
-    for (HeldRange held : ranges) {
-      HeldRange last = joined.isEmpty() ? null : joined.get(joined.size() - 1);
+  void mergeAdjacentRanges(long nowMs, LongSupplier tokens) {
+    List<LeasedRange> joined = new ArrayList<>();
+    for (LeasedRange held : ranges) {
+      LeasedRange last = joined.isEmpty() ? null : joined.get(joined.size() - 1);
       if (last == null || !last.joins(held, nowMs)) {
         joined.add(held);
         continue;
       }
       boolean sameToken = last.token() == held.token();
-      HeldRange both = last.joinedWith(held);
+      LeasedRange both = last.joinedWith(held);
       if (!sameToken) {
         both.restartWith(tokens.getAsLong());
       }
@@ -96,7 +96,7 @@
   /** Returns the ranges whose owner must not have them any longer. */
   List<KeyRange> ofOthers(Predicate<TargetId> usable) {
     List<KeyRange> result = new ArrayList<>();
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       if (!usable.test(held.owner())) {
         result.add(held.range());
       }
@@ -107,7 +107,7 @@
   /** Returns the ranges of each owner on which nothing is under way, or the others. */
   Map<TargetId, List<KeyRange>> byOwner(boolean settled, long nowMs) {
     Map<TargetId, List<KeyRange>> result = new HashMap<>();
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       if (held.isSettled(nowMs) == settled) {
         result.computeIfAbsent(held.owner(), id -> new ArrayList<>()).add(held.range());
       }
@@ -118,7 +118,7 @@
   /** Returns what is to be stored. */
   List<RangeAssignment> assignments(long nowMs) {
     List<RangeAssignment> assignments = new ArrayList<>();
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       assignments.add(
           new RangeAssignment(
               held.range().first(),
@@ -133,7 +133,7 @@
   /** Returns where requests go; neighbours for which the same holds are one route. */
   List<RangeRoute> routes(ToIntFunction<KeyRange> refusedPercent) {
     List<RangeRoute> routes = new ArrayList<>();
-    for (HeldRange held : ranges) {
+    for (LeasedRange held : ranges) {
       KeyRange range = held.range();
       int refused = refusedPercent.applyAsInt(range);
       RangeRoute last = routes.isEmpty() ? null : routes.get(routes.size() - 1);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendFacts.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/send/ConditionLookup.java
@@ -8,7 +8,7 @@
  * @since 0.2
  */
 @FunctionalInterface
-public interface SendFacts {
+public interface ConditionLookup {
 
   /**
    * Looks at one condition.
@@ -17,5 +17,5 @@
    * @param now the time; not null
    * @return what is known of it; never null
    */
-  SendFact of(SendCondition condition, UpperTime now);
+  ConditionStatus of(SendCondition condition, UpperTime now);
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendFact.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/send/ConditionStatus.java
@@ -11,7 +11,7 @@
  * @param maxAgeMs how old that proof may be; milliseconds
  * @since 0.2
  */
-public record SendFact(boolean holds, UpperTime asOf, long maxAgeMs) {
+public record ConditionStatus(boolean holds, UpperTime asOf, long maxAgeMs) {
 
   private static final long UNBOUNDED_MS = Long.MAX_VALUE;
 
@@ -22,8 +22,8 @@
    * @param now the time; not null
    * @return never null
    */
-  public static SendFact local(boolean holds, UpperTime now) {
-    return new SendFact(holds, now, UNBOUNDED_MS);
+  public static ConditionStatus local(boolean holds, UpperTime now) {
+    return new ConditionStatus(holds, now, UNBOUNDED_MS);
   }
 
   /**
@@ -34,8 +34,8 @@
    * @param maxAgeMs how old that may be; milliseconds
    * @return never null
    */
-  public static SendFact heard(boolean holds, UpperTime asOf, long maxAgeMs) {
-    return new SendFact(holds, asOf, maxAgeMs);
+  public static ConditionStatus heard(boolean holds, UpperTime asOf, long maxAgeMs) {
+    return new ConditionStatus(holds, asOf, maxAgeMs);
   }
 
   /**
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendGate.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendGate.java
@@ -34,13 +34,13 @@
    * @param facts what is known; asked only until one of them forbids it; not null
    * @return the first obstacle; empty if it may be sent now
    */
-  public Optional<SendObstacle> check(SendKind kind, SendFacts facts) {
+  public Optional<SendObstacle> check(SendKind kind, ConditionLookup facts) {
     UpperTime now = clock.upper();
     for (SendCondition condition : SendCondition.values()) {
       if (!condition.concerns(kind)) {
         continue;
       }
-      SendFact fact = facts.of(condition, now);
+      ConditionStatus fact = facts.of(condition, now);
       if (fact.forbids(now)) {
         return Optional.of(new SendObstacle(condition, fact.holds()));
       }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DepartureLedgerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DepartureTrackerTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class DepartureLedgerTest {
+class DepartureTrackerTest {
 
   private static final TargetId TARGET = new TargetId("core-0");
 
-  private final DepartureLedger ledger = new DepartureLedger();
+  private final DepartureTracker ledger = new DepartureTracker();
 
   @Test
   void tellsWhatIsNewsOnce() {
@@ -31,7 +31,7 @@
 
   @Test
   void whoKnowsTheSameHasTheSameDigest() {
-    final DepartureLedger other = new DepartureLedger();
+    final DepartureTracker other = new DepartureTracker();
     assertThat(ledger.digest()).isEqualTo(0);
     ledger.add(TARGET, 1_000);
     ledger.add(new TargetId("core-1"), 2_000);
@@ -45,19 +45,19 @@
   @Test
   void runsAreRememberedForLongerThanTheyAreRegistered() {
     ledger.add(TARGET, 0);
-    assertThat(ledger.forget(id -> false, DepartureLedger.UNREGISTERED_MS)).isFalse();
-    assertThat(ledger.forget(id -> true, 10 * DepartureLedger.UNREGISTERED_MS)).isFalse();
+    assertThat(ledger.forget(id -> false, DepartureTracker.UNREGISTERED_MS)).isFalse();
+    assertThat(ledger.forget(id -> true, 10 * DepartureTracker.UNREGISTERED_MS)).isFalse();
     assertThat(ledger.targets()).containsExactly(TARGET);
-    assertThat(ledger.forget(id -> false, DepartureLedger.UNREGISTERED_MS + 1)).isTrue();
+    assertThat(ledger.forget(id -> false, DepartureTracker.UNREGISTERED_MS + 1)).isTrue();
     assertThat(ledger.targets()).isEmpty();
   }
 
   @Test
   void memoryIsBounded() {
-    for (int i = 0; i < DepartureLedger.MOST_TARGETS + 10; i++) {
+    for (int i = 0; i < DepartureTracker.MOST_TARGETS + 10; i++) {
       ledger.add(new TargetId("core-" + i), 0);
     }
-    assertThat(ledger.targets()).hasSize(DepartureLedger.MOST_TARGETS);
+    assertThat(ledger.targets()).hasSize(DepartureTracker.MOST_TARGETS);
     assertThat(ledger.add(new TargetId("one-more"), 0)).isFalse();
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DeputyChoiceTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DeputySelectorTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.cuminvalve.core.fleet.DeputyChoice.Candidate;
+import io.cuminvalve.core.fleet.DeputySelector.Candidate;
 import io.cuminvalve.core.id.DataCentreId;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -10,18 +10,18 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class DeputyChoiceTest {
+class DeputySelectorTest {
 
   @Test
   void allOfNarrowFleetAreDeputies() {
     List<String> chosen =
-        DeputyChoice.choose(List.of(candidate("a", "x", 0.6), candidate("b", "y", 0.6)));
+        DeputySelector.choose(List.of(candidate("a", "x", 0.6), candidate("b", "y", 0.6)));
     assertThat(chosen).containsExactly("a", "b");
   }
 
   @Test
   void nobodyIsChosenFromNobody() {
-    assertThat(DeputyChoice.choose(List.of())).isEmpty();
+    assertThat(DeputySelector.choose(List.of())).isEmpty();
   }
 
   /** Five data centres, three strong hosts and sixteen weak ones in each. */
@@ -35,8 +35,8 @@
             candidate("dc" + centre + "-" + (host < 3 ? "s" : "w") + host, "dc" + centre, cores));
       }
     }
-    List<String> chosen = DeputyChoice.choose(fleet);
-    assertThat(chosen).hasSize(DeputyChoice.DEPUTIES);
+    List<String> chosen = DeputySelector.choose(fleet);
+    assertThat(chosen).hasSize(DeputySelector.DEPUTIES);
     for (int centre = 0; centre < 5; centre++) {
       String prefix = "dc" + centre + "-s";
       assertThat(chosen.stream().filter(address -> address.startsWith(prefix)).count())
@@ -44,7 +44,7 @@
     }
     assertThat(chosen.stream().filter(address -> address.contains("-w")).count()).isEqualTo(0);
     Collections.shuffle(fleet, new Random(3));
-    assertThat(DeputyChoice.choose(fleet)).isEqualTo(chosen);
+    assertThat(DeputySelector.choose(fleet)).isEqualTo(chosen);
   }
 
   private static Candidate candidate(String address, String dataCentre, double cores) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
@@ -50,24 +50,24 @@
   private static final class Suspension {
 
     private final VirtualTime time;
-    private final LeaseFleet fleet;
-    private final LeasePromises promises = new LeasePromises(LeaseFleet.SERVICES);
-    private final LeaseNetwork network;
-    private final LeaseStore store = new LeaseStore();
-    private final List<LeaseHolder> holders = new ArrayList<>();
+    private final SimulatedFleet fleet;
+    private final LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
+    private final SimulatedNetwork network;
+    private final SimulatedStore store = new SimulatedStore();
+    private final List<SimulatedTermHolder> holders = new ArrayList<>();
 
     Suspension(long seed, long stepMs) {
       time = new VirtualTime(seed);
-      fleet = new LeaseFleet(time, ended -> {});
-      network = new LeaseNetwork(time, fleet, promises, true);
-      final LeaseHolder first = addHolder();
+      fleet = new SimulatedFleet(time, ended -> {});
+      network = new SimulatedNetwork(time, fleet, promises, true);
+      final SimulatedTermHolder first = addHolder();
       pass(SETTLE_MS + time.between(0, RENEWED_EVERY_MS));
-      final LeaseTarget owner = fleet.living().get(0);
+      final SimulatedTarget owner = fleet.living().get(0);
       // While it is suspended nobody reads its clocks.
       first.cutOff(false);
       first.clock().suspend(SUSPENDED_MS);
       first.clock().setTimeOfDay(stepMs);
-      LeaseHolder next = addHolder();
+      SimulatedTermHolder next = addHolder();
       next.cutFrom(owner, time.nowMs() + SUSPENDED_MS + AFTERWARDS_MS);
       next.moveFrom(owner);
       pass(SUSPENDED_MS + AFTERWARDS_MS);
@@ -77,8 +77,9 @@
       return promises.violations().values();
     }
 
-    private LeaseHolder addHolder() {
-      LeaseHolder holder = new LeaseHolder(holders.size() + 1, time, fleet, network, store, true);
+    private SimulatedTermHolder addHolder() {
+      SimulatedTermHolder holder =
+          new SimulatedTermHolder(holders.size() + 1, time, fleet, network, store, true);
       holders.add(holder);
       return holder;
     }
@@ -87,7 +88,7 @@
       long endMs = time.nowMs() + durationMs;
       while (time.nowMs() < endMs) {
         time.pass(STEP_MS);
-        holders.forEach(LeaseHolder::step);
+        holders.forEach(SimulatedTermHolder::step);
         promises.check(fleet.living(), time.nowMs());
       }
     }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
@@ -28,7 +28,7 @@
   private long tokens;
   private final SuspensionClock clock =
       new SuspensionClock(() -> passedMs, () -> timeOfDayMs, forMs -> {});
-  private final LeaseDesk desk = new LeaseDesk(SERVICE, TIMINGS, () -> ++tokens);
+  private final LeaseManager desk = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
 
   @BeforeEach
   void partition() {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeasePromises.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseInvariants.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** Looks at what runs of targets hold, and keeps the first violation of each promise. */
-final class LeasePromises {
+final class LeaseInvariants {
 
   /** What must not happen. */
   enum Violation {
@@ -20,7 +20,7 @@
   private final Map<Violation, String> violations = new EnumMap<>(Violation.class);
   private final Map<ServiceId, OwnedKeys> owned = new LinkedHashMap<>();
 
-  LeasePromises(Collection<ServiceId> services) {
+  LeaseInvariants(Collection<ServiceId> services) {
     services.forEach(service -> owned.put(service, new OwnedKeys(service)));
   }
 
@@ -35,16 +35,16 @@
   }
 
   /** A run has carried out a grant; perhaps so late that it holds nothing by it. */
-  void onGranted(LeaseTarget run, LeaseOrder.Grant grant, long nowMs) {
-    for (int sample = 0; sample < LeaseTarget.SAMPLES; sample++) {
-      if (grant.range().contains(sample * LeaseTarget.STEP) && run.holds(sample, nowMs)) {
+  void onGranted(SimulatedTarget run, LeaseOrder.Grant grant, long nowMs) {
+    for (int sample = 0; sample < SimulatedTarget.SAMPLES; sample++) {
+      if (grant.range().contains(sample * SimulatedTarget.STEP) && run.holds(sample, nowMs)) {
         owned.get(grant.service()).onTaken(run, sample, grant.token(), nowMs);
       }
     }
   }
 
   /** Looks at every key. */
-  void check(Collection<LeaseTarget> runs, long nowMs) {
+  void check(Collection<SimulatedTarget> runs, long nowMs) {
     owned.values().forEach(keys -> keys.check(runs, nowMs));
   }
 
@@ -56,20 +56,21 @@
   private final class OwnedKeys {
 
     private final ServiceId service;
-    private final Map<Integer, Map<LeaseTarget, Long>> tokens = new HashMap<>();
+    private final Map<Integer, Map<SimulatedTarget, Long>> tokens = new HashMap<>();
     private int ownedAtMost;
 
     OwnedKeys(ServiceId service) {
       this.service = service;
     }
 
-    void onTaken(LeaseTarget run, int sample, long token, long nowMs) {
+    void onTaken(SimulatedTarget run, int sample, long token, long nowMs) {
       String taken =
-          run + " took key " + sample * LeaseTarget.STEP + " of " + service + " under " + token;
+          run + " took key " + sample * SimulatedTarget.STEP + " of " + service + " under " + token;
       if (!run.service().equals(service)) {
         report(Violation.KEYS_OF_ANOTHER_SERVICE, taken, nowMs);
       }
-      Map<LeaseTarget, Long> before = tokens.computeIfAbsent(sample, key -> new LinkedHashMap<>());
+      Map<SimulatedTarget, Long> before =
+          tokens.computeIfAbsent(sample, key -> new LinkedHashMap<>());
       before.forEach(
           (other, othersToken) -> {
             if (!other.equals(run) && othersToken >= token) {
@@ -82,16 +83,16 @@
       before.merge(run, token, Math::max);
     }
 
-    void check(Collection<LeaseTarget> runs, long nowMs) {
+    void check(Collection<SimulatedTarget> runs, long nowMs) {
       int ownedNow = 0;
-      for (int sample = 0; sample < LeaseTarget.SAMPLES; sample++) {
-        LeaseTarget owner = null;
-        for (LeaseTarget run : runs) {
+      for (int sample = 0; sample < SimulatedTarget.SAMPLES; sample++) {
+        SimulatedTarget owner = null;
+        for (SimulatedTarget run : runs) {
           if (!run.holds(sample, nowMs) || !service.equals(run.heldFor(sample))) {
             continue;
           }
           if (owner != null) {
-            String key = "key " + sample * LeaseTarget.STEP + " of " + service;
+            String key = "key " + sample * SimulatedTarget.STEP + " of " + service;
             report(Violation.TWO_OWNERS, owner + " and " + run + " hold " + key, nowMs);
           }
           owner = run;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseDeskTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseManagerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class LeaseDeskTest {
+class LeaseManagerTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
   private static final TargetId A = new TargetId("a");
@@ -23,7 +23,7 @@
   private static final KeyRange FIRST_KEYS = new KeyRange(0, 99);
 
   private long tokens;
-  private final LeaseDesk desk = new LeaseDesk(SERVICE, TIMINGS, () -> ++tokens);
+  private final LeaseManager desk = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
 
   @BeforeEach
   void partition() {
@@ -59,8 +59,8 @@
       due(1_000).forEach(order -> answer(order, 1_000));
     }
     assertThat(desk.rangeCount()).isAtLeast(400);
-    assertThat(due(1_000 + TIMINGS.longestRenewMs() - 1).isEmpty()).isTrue();
-    assertThat(due(1_000 + TIMINGS.longestRenewMs()).isEmpty()).isFalse();
+    assertThat(due(1_000 + TIMINGS.maxRenewMs() - 1).isEmpty()).isTrue();
+    assertThat(due(1_000 + TIMINGS.maxRenewMs()).isEmpty()).isFalse();
   }
 
   private void answer(LeaseOrder order, long nowMs) {
@@ -89,7 +89,7 @@
   /** The record that was read is older than moves that were made: any target may hold any key. */
   @Test
   void whileOwnersAreUnknownNothingIsGrantedOrAsked() {
-    LeaseDesk next = new LeaseDesk(SERVICE, TIMINGS, () -> ++tokens);
+    LeaseManager next = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
     next.takeOver(desk.table(0), 0, 10_000);
     next.assumeUnknownOwners(10_000);
     next.onWritten(next.version());
@@ -211,7 +211,7 @@
 
   @Test
   void takingOverGrantsToTheSameOwnersUnderHigherTokens() {
-    LeaseDesk next = new LeaseDesk(SERVICE, TIMINGS, () -> 1_000 + ++tokens);
+    LeaseManager next = new LeaseManager(SERVICE, TIMINGS, () -> 1_000 + ++tokens);
     next.takeOver(desk.table(0), 0, 20_000);
     assertThat(next.due(0, target -> true)).isEmpty();
     next.onWritten(next.version());
@@ -237,7 +237,7 @@
 
   @Test
   void theHolderBeforeMayTellThatNothingIsLeft() {
-    LeaseDesk next = new LeaseDesk(SERVICE, TIMINGS, () -> 1_000 + ++tokens);
+    LeaseManager next = new LeaseManager(SERVICE, TIMINGS, () -> 1_000 + ++tokens);
     next.takeOver(desk.table(0), 0, 20_000);
     next.move(FIRST_KEYS, B, 1_000);
     next.onWritten(next.version());
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.cuminvalve.core.id.ServiceId;
-import io.cuminvalve.core.lease.LeasePromises.Violation;
+import io.cuminvalve.core.lease.LeaseInvariants.Violation;
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -26,8 +26,8 @@
  */
 class LeaseRestartTest {
 
-  private static final ServiceId SERVICE = LeaseFleet.SERVICES.get(0);
-  private static final ServiceId OTHER_SERVICE = LeaseFleet.SERVICES.get(1);
+  private static final ServiceId SERVICE = SimulatedFleet.SERVICES.get(0);
+  private static final ServiceId OTHER_SERVICE = SimulatedFleet.SERVICES.get(1);
   private static final long STEP_MS = 25;
 
   /** Users expect keys of a lost target to be served again within this time. */
@@ -38,8 +38,8 @@
   /** No name tells two runs apart that have the same one; then the token still does. */
   @Test
   void renewalsThatReachTheNextRunHaveTokensAboveThoseOfTheRunBefore() {
-    LeasePromises promises = restart(SERVICE, false);
-    assertThat(promises.ownedAtMost()).isEqualTo(LeaseTarget.SAMPLES);
+    LeaseInvariants promises = restart(SERVICE, false);
+    assertThat(promises.ownedAtMost()).isEqualTo(SimulatedTarget.SAMPLES);
     assertThat(promises.violations())
         .doesNotContainKey(Violation.TOKEN_NOT_ABOVE_THAT_OF_ANOTHER_RUN);
   }
@@ -47,15 +47,16 @@
   @Test
   void targetsThatStartAgainUnderTheirNameGetTheirKeysAgain() {
     VirtualTime time = new VirtualTime(1);
-    LeaseFleet fleet = new LeaseFleet(time, ended -> {}, true);
-    LeasePromises promises = new LeasePromises(LeaseFleet.SERVICES);
-    LeaseNetwork network = new LeaseNetwork(time, fleet, promises, true);
-    LeaseHolder holder = new LeaseHolder(1, time, fleet, network, new LeaseStore(), true);
+    SimulatedFleet fleet = new SimulatedFleet(time, ended -> {}, true);
+    LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
+    SimulatedNetwork network = new SimulatedNetwork(time, fleet, promises, true);
+    SimulatedTermHolder holder =
+        new SimulatedTermHolder(1, time, fleet, network, new SimulatedStore(), true);
     pass(3_000, time, holder, fleet, promises);
-    LeaseTarget owner = fleet.living().get(0);
+    SimulatedTarget owner = fleet.living().get(0);
     int sample = anyHeldBy(owner, time);
     owner.end(time.nowMs());
-    LeaseTarget next = fleet.startAgain(owner, 0);
+    SimulatedTarget next = fleet.startAgain(owner, 0);
     long waitedMs = 0;
     while (waitedMs < LISTED_FOR_MS && fleet.living().stream().noneMatch(holds(sample, time))) {
       pass(STEP_MS, time, holder, fleet, promises);
@@ -66,14 +67,14 @@
     assertThat(waitedMs).isAtMost(WITHIN_MS);
   }
 
-  private static int anyHeldBy(LeaseTarget owner, VirtualTime time) {
-    return IntStream.range(0, LeaseTarget.SAMPLES)
+  private static int anyHeldBy(SimulatedTarget owner, VirtualTime time) {
+    return IntStream.range(0, SimulatedTarget.SAMPLES)
         .filter(sample -> owner.holds(sample, time.nowMs()))
         .findFirst()
         .orElseThrow();
   }
 
-  private static Predicate<LeaseTarget> holds(int sample, VirtualTime time) {
+  private static Predicate<SimulatedTarget> holds(int sample, VirtualTime time) {
     return run -> run.holds(sample, time.nowMs());
   }
 
@@ -94,18 +95,20 @@
   }
 
   /** An owner ends, another run has its address at once; the holder learns it from nobody. */
-  private static LeasePromises restart(ServiceId nextService, boolean targetsAreNamed) {
+  private static LeaseInvariants restart(ServiceId nextService, boolean targetsAreNamed) {
     VirtualTime time = new VirtualTime(1);
-    LeaseFleet fleet = new LeaseFleet(time, ended -> {});
-    LeasePromises promises = new LeasePromises(LeaseFleet.SERVICES);
-    LeaseNetwork network = new LeaseNetwork(time, fleet, promises, targetsAreNamed);
-    LeaseHolder holder = new LeaseHolder(1, time, fleet, network, new LeaseStore(), true);
+    SimulatedFleet fleet = new SimulatedFleet(time, ended -> {});
+    LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
+    SimulatedNetwork network = new SimulatedNetwork(time, fleet, promises, targetsAreNamed);
+    SimulatedTermHolder holder =
+        new SimulatedTermHolder(1, time, fleet, network, new SimulatedStore(), true);
     pass(3_000, time, holder, fleet, promises);
-    LeaseTarget owner =
+    SimulatedTarget owner =
         fleet.living().stream().filter(run -> run.service().equals(SERVICE)).findFirst().get();
-    assertThat(IntStream.range(0, LeaseTarget.SAMPLES).anyMatch(i -> owner.holds(i, time.nowMs())))
+    assertThat(
+            IntStream.range(0, SimulatedTarget.SAMPLES).anyMatch(i -> owner.holds(i, time.nowMs())))
         .isTrue();
-    LeaseTarget next = fleet.replace(owner, nextService, LISTED_FOR_MS);
+    SimulatedTarget next = fleet.replace(owner, nextService, LISTED_FOR_MS);
     pass(2 * LISTED_FOR_MS, time, holder, fleet, promises);
     assertThat(next.isEnded()).isFalse();
     assertThat(network.refusedGrants() > 0).isEqualTo(targetsAreNamed);
@@ -115,9 +118,9 @@
   private static void pass(
       long durationMs,
       VirtualTime time,
-      LeaseHolder holder,
-      LeaseFleet fleet,
-      LeasePromises promises) {
+      SimulatedTermHolder holder,
+      SimulatedFleet fleet,
+      LeaseInvariants promises) {
     long endMs = time.nowMs() + durationMs;
     while (time.nowMs() < endMs) {
       time.pass(STEP_MS);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleSweepTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleSweepTest.java
@@ -64,9 +64,9 @@
     }
   }
 
-  private static LeaseWorld worldOf(long seed) {
+  private static LeaseSimulation worldOf(long seed) {
     int combination = (int) Math.floorMod(seed, (long) COMBINATIONS);
-    LeaseWorld world = new LeaseWorld(seed, true, (combination & 1) != 0);
+    LeaseSimulation world = new LeaseSimulation(seed, true, (combination & 1) != 0);
     if ((combination & 2) != 0) {
       world = world.withOlderStores(true);
     }
@@ -76,9 +76,9 @@
     return world;
   }
 
-  private static Optional<String> violationsIn(LeaseWorld world, long seed) {
+  private static Optional<String> violationsIn(LeaseSimulation world, long seed) {
     world.run(DURATION_MS);
-    Map<LeasePromises.Violation, String> violations = world.promises().violations();
+    Map<LeaseInvariants.Violation, String> violations = world.promises().violations();
     return violations.isEmpty()
         ? Optional.empty()
         : Optional.of("seed " + seed + ": " + violations);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
@@ -3,8 +3,8 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import io.cuminvalve.core.lease.LeasePromises.Violation;
-import io.cuminvalve.core.lease.LeaseWorld.Trouble;
+import io.cuminvalve.core.lease.LeaseInvariants.Violation;
+import io.cuminvalve.core.lease.LeaseSimulation.Trouble;
 import java.util.EnumSet;
 import java.util.HashSet;
 import java.util.List;
@@ -27,10 +27,10 @@
 
   @Property(tries = 150, seed = "7")
   void noKeyHasTwoOwners(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true);
+    LeaseSimulation world = new LeaseSimulation(seed, true);
     world.run(DURATION_MS);
     assertWithMessage("violations").that(world.promises().violations()).isEmpty();
-    assertThat(world.promises().ownedAtMost()).isGreaterThan(LeaseTarget.SAMPLES / 2);
+    assertThat(world.promises().ownedAtMost()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
   }
 
   /**
@@ -44,9 +44,9 @@
    */
   @Example
   void keysOfEndedTargetsOpenAlthoughHoldersChangeOften() {
-    LeaseWorld world = new LeaseWorld(-8_500_642_725_582_650_421L, true);
+    LeaseSimulation world = new LeaseSimulation(-8_500_642_725_582_650_421L, true);
     world.run(DURATION_MS);
-    assertThat(world.promises().ownedAtMost()).isGreaterThan(LeaseTarget.SAMPLES / 2);
+    assertThat(world.promises().ownedAtMost()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
   }
 
   /**
@@ -55,10 +55,10 @@
    */
   @Property(tries = 150, seed = "11")
   void noKeyHasTwoOwnersThoughNamesAreUsedAgain(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true, true);
+    LeaseSimulation world = new LeaseSimulation(seed, true, true);
     world.run(DURATION_MS);
     assertWithMessage("violations").that(world.promises().violations()).isEmpty();
-    assertThat(world.promises().ownedAtMost()).isGreaterThan(LeaseTarget.SAMPLES / 2);
+    assertThat(world.promises().ownedAtMost()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
   }
 
   /**
@@ -71,7 +71,7 @@
    */
   @Example
   void grantsUnderWayToAnEndedTargetMayReachTheNextRunOfItsName() {
-    LeaseWorld world = new LeaseWorld(1097, true, true);
+    LeaseSimulation world = new LeaseSimulation(1097, true, true);
     world.run(DURATION_MS);
     assertThat(world.promises().violations()).isEmpty();
   }
@@ -79,7 +79,7 @@
   /** Clocks of holders jump, and holders sleep and wake up as if nothing had happened. */
   @Property(tries = 150, seed = "17")
   void noKeyHasTwoOwnersThoughClocksAreSetAndHostsSuspended(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true).withClockFaults();
+    LeaseSimulation world = new LeaseSimulation(seed, true).withClockFaults();
     world.run(DURATION_MS);
     assertWithMessage("violations").that(world.promises().violations()).isEmpty();
     assertThat(world.suspensions()).isGreaterThan(0);
@@ -89,7 +89,8 @@
   /** All of it at once: names that are used again, older stores, clocks, suspended hosts. */
   @Property(tries = 150, seed = "19")
   void noKeyHasTwoOwnersWhateverComesTogether(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true, true).withOlderStores(true).withClockFaults();
+    LeaseSimulation world =
+        new LeaseSimulation(seed, true, true).withOlderStores(true).withClockFaults();
     world.run(DURATION_MS);
     assertWithMessage("violations").that(world.promises().violations()).isEmpty();
   }
@@ -97,7 +98,7 @@
   /** Moves that were written are lost with the store, at times with the holder that made them. */
   @Property(tries = 150, seed = "13")
   void noKeyHasTwoOwnersThoughTheStoreComesBackOlder(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true).withOlderStores(true);
+    LeaseSimulation world = new LeaseSimulation(seed, true).withOlderStores(true);
     world.run(DURATION_MS);
     assertWithMessage("violations").that(world.promises().violations()).isEmpty();
   }
@@ -111,7 +112,7 @@
    */
   @Example
   void missingRecordsOfAnEarlierEpochProveNothingEither() {
-    LeaseWorld world = new LeaseWorld(-13, true).withOlderStores(true);
+    LeaseSimulation world = new LeaseSimulation(-13, true).withOlderStores(true);
     world.run(DURATION_MS);
     assertThat(world.promises().violations()).isEmpty();
   }
@@ -126,7 +127,7 @@
   @Example
   void replacedHoldersDoNotComeBackWithTheStore() {
     for (long seed : List.of(660260225259642700L, 755854500991624593L, -3462057721180242966L)) {
-      LeaseWorld world = new LeaseWorld(seed, true).withOlderStores(true);
+      LeaseSimulation world = new LeaseSimulation(seed, true).withOlderStores(true);
       world.run(DURATION_MS);
       assertThat(world.promises().violations()).isEmpty();
     }
@@ -137,7 +138,8 @@
    */
   @Example
   void holdersThatHaveNotWrittenReadAgain() {
-    LeaseWorld world = new LeaseWorld(-3659396086863550127L, true, true).withOlderStores(true);
+    LeaseSimulation world =
+        new LeaseSimulation(-3659396086863550127L, true, true).withOlderStores(true);
     world.run(DURATION_MS);
     assertThat(world.promises().violations()).isEmpty();
   }
@@ -148,7 +150,7 @@
     int broken = 0;
     int lostRecords = 0;
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
-      LeaseWorld world = new LeaseWorld(seed, true).withOlderStores(false);
+      LeaseSimulation world = new LeaseSimulation(seed, true).withOlderStores(false);
       world.run(DURATION_MS);
       broken += world.promises().violations().isEmpty() ? 0 : 1;
       lostRecords += world.lostRecords();
@@ -167,7 +169,7 @@
     Set<Violation> seen = EnumSet.noneOf(Violation.class);
     Set<Long> harmless = new HashSet<>();
     for (long seed = 0; seed < UNNAMED_SEEDS; seed++) {
-      LeaseWorld world = new LeaseWorld(seed, false);
+      LeaseSimulation world = new LeaseSimulation(seed, false);
       world.run(DURATION_MS);
       if (world.promises().violations().isEmpty()) {
         harmless.add(seed);
@@ -182,7 +184,7 @@
   @Example
   void newsIsToldAgainAndNamesComeBackAfterOthers() {
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
-      LeaseWorld world = new LeaseWorld(seed, true, true).withNewsToldAgain();
+      LeaseSimulation world = new LeaseSimulation(seed, true, true).withNewsToldAgain();
       world.run(DURATION_MS);
       assertThat(world.newsToldAgain()).isGreaterThan(0);
       assertThat(world.returns()).isGreaterThan(0);
@@ -197,7 +199,7 @@
   void everyTroubleComesUpAndOrdersReachOtherRuns() {
     Set<Trouble> seen = EnumSet.noneOf(Trouble.class);
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
-      LeaseWorld world = new LeaseWorld(seed, true);
+      LeaseSimulation world = new LeaseSimulation(seed, true);
       world.run(DURATION_MS);
       assertThat(world.network().refusedGrants()).isGreaterThan(0);
       if (seed != SEED_WITHOUT_RELEASES) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseWorld.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseSimulation.java
@@ -10,9 +10,9 @@
  *
  * <p>A holder that is replaced goes on until it notices or its grace is over; one that gives up, as
  * another wrote before it, is replaced soon. Targets end and others take their addresses, at the
- * worst moments. {@link LeasePromises} are looked at in every step.
+ * worst moments. {@link LeaseInvariants} are looked at in every step.
  */
-final class LeaseWorld {
+final class LeaseSimulation {
 
   /** What goes wrong around the end of a run. */
   enum Trouble {
@@ -34,11 +34,11 @@
 
   private final VirtualTime time;
   private final boolean namesAreUsedAgain;
-  private final LeaseFleet fleet;
-  private final LeaseNetwork network;
-  private final LeaseStore store = new LeaseStore();
-  private final LeasePromises promises = new LeasePromises(LeaseFleet.SERVICES);
-  private final List<LeaseHolder> holders = new ArrayList<>();
+  private final SimulatedFleet fleet;
+  private final SimulatedNetwork network;
+  private final SimulatedStore store = new SimulatedStore();
+  private final LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
+  private final List<SimulatedTermHolder> holders = new ArrayList<>();
   private final Set<Trouble> troubles = EnumSet.noneOf(Trouble.class);
   private boolean olderStores;
   private boolean clockFaults;
@@ -50,27 +50,27 @@
   private int lostRecords;
 
   /** Creates a world in which orders name their targets, or give nothing but an address. */
-  LeaseWorld(long seed, boolean targetsAreNamed) {
+  LeaseSimulation(long seed, boolean targetsAreNamed) {
     this(seed, targetsAreNamed, false);
   }
 
   /** The same; targets may start again under the names that they had. */
-  LeaseWorld(long seed, boolean targetsAreNamed, boolean namesAreUsedAgain) {
+  LeaseSimulation(long seed, boolean targetsAreNamed, boolean namesAreUsedAgain) {
     time = new VirtualTime(seed);
     this.namesAreUsedAgain = namesAreUsedAgain;
-    fleet = new LeaseFleet(time, this::tellReplaced, namesAreUsedAgain);
-    network = new LeaseNetwork(time, fleet, promises, targetsAreNamed);
+    fleet = new SimulatedFleet(time, this::tellReplaced, namesAreUsedAgain);
+    network = new SimulatedNetwork(time, fleet, promises, targetsAreNamed);
   }
 
   /** From now on the store comes back older at times, also as the holder is lost. */
-  LeaseWorld withOlderStores(boolean holdersWait) {
+  LeaseSimulation withOlderStores(boolean holdersWait) {
     olderStores = true;
     waitsForLostMoves = holdersWait;
     return this;
   }
 
   /** From now on hosts of holders are suspended and their times of day set, at times both. */
-  LeaseWorld withClockFaults() {
+  LeaseSimulation withClockFaults() {
     clockFaults = true;
     return this;
   }
@@ -79,7 +79,7 @@
    * From now on the news that a run has ended comes again and again. Where names are used again,
    * runs of other names have the address of one until the next run of its name starts there.
    */
-  LeaseWorld withNewsToldAgain() {
+  LeaseSimulation withNewsToldAgain() {
     newsComesAgain = true;
     fleet.letOthersComeBetween();
     return this;
@@ -117,12 +117,12 @@
     while (time.nowMs() < endMs) {
       time.pass(STEP_MS);
       disturb();
-      holders.forEach(LeaseHolder::step);
+      holders.forEach(SimulatedTermHolder::step);
       promises.check(fleet.living(), time.nowMs());
     }
   }
 
-  LeasePromises promises() {
+  LeaseInvariants promises() {
     return promises;
   }
 
@@ -130,13 +130,13 @@
     return troubles;
   }
 
-  LeaseNetwork network() {
+  SimulatedNetwork network() {
     return network;
   }
 
-  private LeaseHolder addHolder() {
-    LeaseHolder holder =
-        new LeaseHolder(holders.size() + 1, time, fleet, network, store, waitsForLostMoves);
+  private SimulatedTermHolder addHolder() {
+    SimulatedTermHolder holder =
+        new SimulatedTermHolder(holders.size() + 1, time, fleet, network, store, waitsForLostMoves);
     if (clockFaults) {
       holder.goOnWhenStale();
     }
@@ -145,8 +145,8 @@
   }
 
   /** Each holder learns that another run answers in place of one: soon, late, or never. */
-  private void tellReplaced(LeaseTarget ended) {
-    for (LeaseHolder holder : holders) {
+  private void tellReplaced(SimulatedTarget ended) {
+    for (SimulatedTermHolder holder : holders) {
       int luck = time.draw(3);
       if (luck > 0) {
         long delayMs = luck == 1 ? time.between(1, 300) : time.between(1_000, 8_000);
@@ -158,7 +158,7 @@
     }
   }
 
-  private void tellAgain(LeaseHolder holder, LeaseTarget ended) {
+  private void tellAgain(SimulatedTermHolder holder, SimulatedTarget ended) {
     boolean listed = time.draw(3) > 0;
     time.later(
         time.between(1, 6_000),
@@ -222,7 +222,7 @@
     int writes = time.draw(12);
     lostRecords += writes > 0 ? 1 : 0;
     store.comeBackWithout(writes);
-    LeaseHolder last = holders.get(holders.size() - 1);
+    SimulatedTermHolder last = holders.get(holders.size() - 1);
     if (time.onceIn(3)) {
       time.later(time.between(0, 1_500), this::takeOver);
     } else {
@@ -230,7 +230,7 @@
     }
   }
 
-  private void cause(Trouble trouble, LeaseTarget run) {
+  private void cause(Trouble trouble, SimulatedTarget run) {
     switch (trouble) {
       case ONE_RESTARTS -> {
         fleet.restart(run);
@@ -240,7 +240,7 @@
         }
       }
       case MANY_RESTART -> {
-        for (LeaseTarget one : fleet.living()) {
+        for (SimulatedTarget one : fleet.living()) {
           if (time.draw(3) > 0) {
             time.later(time.between(0, 1_000), () -> fleet.restart(one));
           }
@@ -263,9 +263,9 @@
   }
 
   private void takeOver() {
-    LeaseHolder last = holders.get(holders.size() - 1);
+    SimulatedTermHolder last = holders.get(holders.size() - 1);
     last.cutOff(time.onceIn(2));
-    LeaseHolder next = addHolder();
+    SimulatedTermHolder next = addHolder();
     next.cutFromOneTarget(clockFaults ? LONG_CUT_MS : CUT_MS);
     if (time.onceIn(3)) {
       time.later(time.between(0, 3_000), () -> next.askPredecessor(last));
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseNewsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseTerminationNoticeTest.java
@@ -17,21 +17,21 @@
  * News that an owner has ended comes more than once, late, and in another order than what it tells
  * of. Meanwhile the next run of the owner's name answers at its address.
  */
-class LeaseNewsTest {
+class LeaseTerminationNoticeTest {
 
-  private static final ServiceId SERVICE = LeaseFleet.SERVICES.get(0);
+  private static final ServiceId SERVICE = SimulatedFleet.SERVICES.get(0);
   private static final String ADDRESS = "10.0.0.1";
   private static final TargetId OWNER = TargetId.ofRun("a", 1);
   private static final TargetId OTHER = new TargetId("b");
-  private static final LeaseTimings TIMINGS = LeaseHolder.TIMINGS;
+  private static final LeaseTimings TIMINGS = SimulatedTermHolder.TIMINGS;
 
-  private final LeasePromises promises = new LeasePromises(LeaseFleet.SERVICES);
-  private final LeaseTarget owner = new LeaseTarget(OWNER, SERVICE, ADDRESS, 1, 0);
-  private final LeaseTarget other = new LeaseTarget(OTHER, SERVICE, "10.0.0.2", 1, 0);
-  private final LeaseTarget next =
-      new LeaseTarget(TargetId.ofRun("a", 2), SERVICE, ADDRESS, 1, 2_000);
+  private final LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
+  private final SimulatedTarget owner = new SimulatedTarget(OWNER, SERVICE, ADDRESS, 1, 0);
+  private final SimulatedTarget other = new SimulatedTarget(OTHER, SERVICE, "10.0.0.2", 1, 0);
+  private final SimulatedTarget next =
+      new SimulatedTarget(TargetId.ofRun("a", 2), SERVICE, ADDRESS, 1, 2_000);
   private long tokens;
-  private final LeaseDesk desk = new LeaseDesk(SERVICE, TIMINGS, () -> ++tokens);
+  private final LeaseManager desk = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
 
   /** All keys are the owner's; then it ends, and the next run of its name starts. */
   @BeforeEach
@@ -108,7 +108,7 @@
    */
   @Test
   void lateNewsSparesGrantsThatTheNextRunTookUnnoticed() {
-    LeaseWorld world = new LeaseWorld(1289, true, true).withNewsToldAgain();
+    LeaseSimulation world = new LeaseSimulation(1289, true, true).withNewsToldAgain();
     world.run(60_000);
     assertThat(world.promises().violations()).isEmpty();
   }
@@ -141,17 +141,17 @@
     return (LeaseOrder.Grant) desk.due(nowMs, target -> true).get(0);
   }
 
-  private void answer(LeaseOrder.Grant grant, LeaseTarget run, long nowMs) {
+  private void answer(LeaseOrder.Grant grant, SimulatedTarget run, long nowMs) {
     carryOut(grant, run, nowMs);
     desk.onGrantEnded(grant, OrderOutcome.DONE, nowMs, nowMs);
   }
 
-  private void carryOut(LeaseOrder.Grant grant, LeaseTarget run, long nowMs) {
+  private void carryOut(LeaseOrder.Grant grant, SimulatedTarget run, long nowMs) {
     assertThat(run.carryOut(grant, true, nowMs)).isEqualTo(OrderOutcome.DONE);
     promises.onGranted(run, grant, nowMs);
   }
 
-  private static FleetTarget listed(LeaseTarget run) {
+  private static FleetTarget listed(SimulatedTarget run) {
     return new FleetTarget(
         run.id(), SERVICE, run.address(), new DataCentreId("zone"), 4, TargetPhase.READY, 0);
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseFleet.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedFleet.java
@@ -16,7 +16,7 @@
  * <p>When a run ends, another one of its service takes its address, or one of the other service, or
  * nobody for now. The registry may list the ended one for seconds, and the next one late.
  */
-final class LeaseFleet {
+final class SimulatedFleet {
 
   static final List<ServiceId> SERVICES = List.of(new ServiceId("core"), new ServiceId("edge"));
 
@@ -24,26 +24,27 @@
   private static final double SLOWEST_CLOCK = 1.02;
 
   private final VirtualTime time;
-  private final Consumer<LeaseTarget> onReplaced;
+  private final Consumer<SimulatedTarget> onReplaced;
   private final boolean namesAreUsedAgain;
   private boolean othersComeBetween;
   private int returns;
 
   /** Every run there ever was. */
-  private final Map<TargetId, LeaseTarget> runs = new LinkedHashMap<>();
+  private final Map<TargetId, SimulatedTarget> runs = new LinkedHashMap<>();
 
   /** The run at each address, or the one that was there last. */
-  private final Map<String, LeaseTarget> lastAt = new LinkedHashMap<>();
+  private final Map<String, SimulatedTarget> lastAt = new LinkedHashMap<>();
 
   private final Map<String, Long> answersLostUntilMs = new LinkedHashMap<>();
 
   /** Creates the first runs; the caller learns which run has ended and was replaced. */
-  LeaseFleet(VirtualTime time, Consumer<LeaseTarget> onReplaced) {
+  SimulatedFleet(VirtualTime time, Consumer<SimulatedTarget> onReplaced) {
     this(time, onReplaced, false);
   }
 
   /** The same; runs that start at the address of one of their service may have its name. */
-  LeaseFleet(VirtualTime time, Consumer<LeaseTarget> onReplaced, boolean namesAreUsedAgain) {
+  SimulatedFleet(
+      VirtualTime time, Consumer<SimulatedTarget> onReplaced, boolean namesAreUsedAgain) {
     this.time = time;
     this.onReplaced = onReplaced;
     this.namesAreUsedAgain = namesAreUsedAgain;
@@ -69,26 +70,26 @@
     return returns;
   }
 
-  Collection<LeaseTarget> runs() {
+  Collection<SimulatedTarget> runs() {
     return runs.values();
   }
 
-  LeaseTarget run(TargetId id) {
+  SimulatedTarget run(TargetId id) {
     return runs.get(id);
   }
 
-  List<LeaseTarget> living() {
+  List<SimulatedTarget> living() {
     return runs.values().stream().filter(run -> !run.isEnded()).toList();
   }
 
   /** Returns one of those that have not ended; empty while all have. */
-  Optional<LeaseTarget> anyLiving() {
-    List<LeaseTarget> living = living();
+  Optional<SimulatedTarget> anyLiving() {
+    List<SimulatedTarget> living = living();
     return living.isEmpty() ? Optional.empty() : Optional.of(living.get(time.draw(living.size())));
   }
 
   /** Returns the run that a connection to an address reaches now. */
-  Optional<LeaseTarget> runAt(String address) {
+  Optional<SimulatedTarget> runAt(String address) {
     return Optional.ofNullable(lastAt.get(address)).filter(run -> !run.isEnded());
   }
 
@@ -102,13 +103,13 @@
   }
 
   /** Ends a run; another one has its address at once, and the registry lists both for a while. */
-  LeaseTarget replace(LeaseTarget run, ServiceId nextService, long listedForMs) {
+  SimulatedTarget replace(SimulatedTarget run, ServiceId nextService, long listedForMs) {
     run.end(time.nowMs() + listedForMs);
     return start(nextService, run.address(), 0);
   }
 
   /** Ends a run; soon the next one starts, at the same address or elsewhere. */
-  void restart(LeaseTarget run) {
+  void restart(SimulatedTarget run) {
     if (run.isEnded()) {
       return;
     }
@@ -117,11 +118,11 @@
     time.later(time.between(1, 2_000), () -> startNext(run, fate));
   }
 
-  private void startNext(LeaseTarget ended, int fate) {
+  private void startNext(SimulatedTarget ended, int fate) {
     ServiceId service = ended.service();
     boolean isFree = runAt(ended.address()).isEmpty();
     if (isFree && fate < 6 && othersComeBetween && namesAreUsedAgain && time.onceIn(2)) {
-      LeaseTarget between = start(service, ended.address(), listingDelay());
+      SimulatedTarget between = start(service, ended.address(), listingDelay());
       time.later(time.between(1, 2_000), () -> startAfter(between, ended));
     } else if (isFree && fate < 6 && namesAreUsedAgain && time.draw(4) > 0) {
       startAgain(ended, listingDelay());
@@ -139,7 +140,7 @@
   }
 
   /** The run that was there for a while ends, and one with the name of the run before it starts. */
-  private void startAfter(LeaseTarget between, LeaseTarget ended) {
+  private void startAfter(SimulatedTarget between, SimulatedTarget ended) {
     if (!between.isEnded()) {
       between.end(time.nowMs() + time.between(0, 2_000));
       returns++;
@@ -165,10 +166,10 @@
     return free.isEmpty() ? freshAddress() : free.get(time.draw(free.size()));
   }
 
-  private LeaseTarget start(ServiceId service, String address, long listingDelayMs) {
+  private SimulatedTarget start(ServiceId service, String address, long listingDelayMs) {
     TargetId id = new TargetId("run-" + (runs.size() + 1));
-    LeaseTarget before = lastAt.get(address);
-    LeaseTarget next = begin(id, service, address, listingDelayMs);
+    SimulatedTarget before = lastAt.get(address);
+    SimulatedTarget next = begin(id, service, address, listingDelayMs);
     if (before != null) {
       onReplaced.accept(before);
     }
@@ -176,16 +177,17 @@
   }
 
   /** The next run has the address and the name of one that ended; its entry replaces that one's. */
-  LeaseTarget startAgain(LeaseTarget ended, long listingDelayMs) {
+  SimulatedTarget startAgain(SimulatedTarget ended, long listingDelayMs) {
     TargetId id = TargetId.ofRun(ended.id().name(), time.nowMs() + 1);
     ended.end(Math.min(ended.listedUntilMs(), time.nowMs() + listingDelayMs));
     return begin(id, ended.service(), ended.address(), listingDelayMs);
   }
 
-  private LeaseTarget begin(TargetId id, ServiceId service, String address, long listingDelayMs) {
+  private SimulatedTarget begin(
+      TargetId id, ServiceId service, String address, long listingDelayMs) {
     double clockRate = time.onceIn(3) ? SLOWEST_CLOCK : 1 + time.share() * (SLOWEST_CLOCK - 1);
-    LeaseTarget next =
-        new LeaseTarget(id, service, address, clockRate, time.nowMs() + listingDelayMs);
+    SimulatedTarget next =
+        new SimulatedTarget(id, service, address, clockRate, time.nowMs() + listingDelayMs);
     runs.put(id, next);
     lastAt.put(address, next);
     return next;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseNetwork.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedNetwork.java
@@ -9,20 +9,20 @@
  * <p>Orders are delayed, lost, refused, or carried out seconds later without an answer. Those on a
  * connection to a run that ends are lost with it: they never reach the next one.
  */
-final class LeaseNetwork {
+final class SimulatedNetwork {
 
   private static final long TIMEOUT_MS = 700;
 
   private final VirtualTime time;
-  private final LeaseFleet fleet;
-  private final LeasePromises promises;
+  private final SimulatedFleet fleet;
+  private final LeaseInvariants promises;
   private final boolean targetsAreNamed;
   private int refusedGrants;
   private int refusedReleases;
 
   /** Creates the network; orders name their target, and runs look at it, or they do not. */
-  LeaseNetwork(
-      VirtualTime time, LeaseFleet fleet, LeasePromises promises, boolean targetsAreNamed) {
+  SimulatedNetwork(
+      VirtualTime time, SimulatedFleet fleet, LeaseInvariants promises, boolean targetsAreNamed) {
     this.time = time;
     this.fleet = fleet;
     this.promises = promises;
@@ -42,12 +42,12 @@
   void send(LeaseOrder order, String address, Consumer<OrderOutcome> onEnded) {
     long wayMs = time.between(1, 60);
     int luck = time.draw(100);
-    Optional<LeaseTarget> reached = fleet.runAt(address);
+    Optional<SimulatedTarget> reached = fleet.runAt(address);
     if (luck < 5 || reached.isEmpty()) {
       time.later(wayMs, () -> onEnded.accept(OrderOutcome.NOT_SENT));
       return;
     }
-    LeaseTarget run = reached.get();
+    SimulatedTarget run = reached.get();
     boolean answerLost = fleet.losesAnswers(address) && time.draw(4) > 0;
     if (luck < 10) {
       loseAnswer(onEnded);
@@ -67,12 +67,12 @@
     time.later(TIMEOUT_MS, () -> onEnded.accept(OrderOutcome.UNANSWERED));
   }
 
-  private void deliver(LeaseOrder order, LeaseTarget run, Consumer<OrderOutcome> onEnded) {
+  private void deliver(LeaseOrder order, SimulatedTarget run, Consumer<OrderOutcome> onEnded) {
     OrderOutcome outcome = carryOut(order, run, time.nowMs());
     time.later(time.between(1, 60), () -> onEnded.accept(outcome));
   }
 
-  private OrderOutcome carryOut(LeaseOrder order, LeaseTarget run, long arrivedMs) {
+  private OrderOutcome carryOut(LeaseOrder order, SimulatedTarget run, long arrivedMs) {
     if (run.isEnded()) {
       return OrderOutcome.UNANSWERED;
     }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseStore.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedStore.java
@@ -7,14 +7,14 @@
  * The store of the assignments: each write replaces one revision. It may come back from an older
  * copy of itself; revisions of a later epoch are above all of those before.
  */
-final class LeaseStore {
+final class SimulatedStore {
 
   private static final long REVISIONS_PER_EPOCH = 1_000_000;
 
   private final List<OwnershipRecord> written = new ArrayList<>();
   private long epoch = 1;
 
-  LeaseStore() {
+  SimulatedStore() {
     written.add(new OwnershipRecord(0, List.of(), List.of(), epoch));
   }
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseTarget.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTarget.java
@@ -7,7 +7,7 @@
  * One run of a target at its address. It holds leases, as targets do: by token, on a clock that may
  * run slow. The next run at the address is another target: nothing seen, nothing held.
  */
-final class LeaseTarget {
+final class SimulatedTarget {
 
   /** Only every so manieth key is looked at; moves in tests begin and end there. */
   static final int STEP = 4_096;
@@ -25,7 +25,8 @@
   private long listedUntilMs = Long.MAX_VALUE / 2;
   private boolean ended;
 
-  LeaseTarget(TargetId id, ServiceId service, String address, double clockRate, long listedFromMs) {
+  SimulatedTarget(
+      TargetId id, ServiceId service, String address, double clockRate, long listedFromMs) {
     this.id = id;
     this.service = service;
     this.address = address;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseHolder.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
@@ -20,18 +20,18 @@
  * A holder of the term with a desk for each service. It knows targets by the registry, whose list
  * it sees late, and sends orders to the addresses that it has seen there.
  */
-final class LeaseHolder {
+final class SimulatedTermHolder {
 
   static final LeaseTimings TIMINGS =
       new LeaseTimings(4_000, 10_000, 1_000, 1_800, 5, 200, 0.02, 150, 9_500);
 
   private final VirtualTime time;
-  private final LeaseFleet fleet;
-  private final LeaseNetwork network;
-  private final LeaseStore store;
-  private final Map<ServiceId, LeaseDesk> desks = new LinkedHashMap<>();
+  private final SimulatedFleet fleet;
+  private final SimulatedNetwork network;
+  private final SimulatedStore store;
+  private final Map<ServiceId, LeaseManager> desks = new LinkedHashMap<>();
   private final Set<TargetId> gone = new HashSet<>();
-  private final Set<LeaseTarget> answeredBy = new HashSet<>();
+  private final Set<SimulatedTarget> answeredBy = new HashSet<>();
   private final Map<TargetId, String> storedAddresses = new HashMap<>();
   private final long term;
   private final long startedMs;
@@ -54,12 +54,12 @@
   private String unreachable = "";
   private long reachableAtMs;
 
-  LeaseHolder(
+  SimulatedTermHolder(
       long term,
       VirtualTime time,
-      LeaseFleet fleet,
-      LeaseNetwork network,
-      LeaseStore store,
+      SimulatedFleet fleet,
+      SimulatedNetwork network,
+      SimulatedStore store,
       boolean waitsForLostMoves) {
     this.term = term;
     this.time = time;
@@ -71,8 +71,8 @@
     listLagMs = time.between(0, 1_000);
     revision = store.revision();
     takenOverFrom = store.stored().term();
-    for (ServiceId service : LeaseFleet.SERVICES) {
-      desks.put(service, new LeaseDesk(service, TIMINGS, () -> (term << 20) + ++tokenCount));
+    for (ServiceId service : SimulatedFleet.SERVICES) {
+      desks.put(service, new LeaseManager(service, TIMINGS, () -> (term << 20) + ++tokenCount));
     }
     long foreignUntilMs = startedMs + TIMINGS.foreignLeaseMs();
     store
@@ -113,18 +113,18 @@
 
   /** The path to one target is cut for a while; that of the holder before need not be. */
   void cutFromOneTarget(long longestMs) {
-    unreachable = fleet.anyLiving().map(LeaseTarget::address).orElse("");
+    unreachable = fleet.anyLiving().map(SimulatedTarget::address).orElse("");
     reachableAtMs = time.nowMs() + time.between(0, longestMs);
   }
 
   /** The path to this target is cut until then. */
-  void cutFrom(LeaseTarget target, long untilMs) {
+  void cutFrom(SimulatedTarget target, long untilMs) {
     unreachable = target.address();
     reachableAtMs = untilMs;
   }
 
   /** The holder before stops and tells which leases may still be in force. */
-  void askPredecessor(LeaseHolder predecessor) {
+  void askPredecessor(SimulatedTermHolder predecessor) {
     predecessor.stopped = true;
     if (predecessor.term == takenOverFrom && !storedMayBeOld) {
       desks.forEach(
@@ -175,10 +175,10 @@
     }
     desks.forEach(this::decide);
     write();
-    for (LeaseDesk desk : desks.values()) {
+    for (LeaseManager desk : desks.values()) {
       desk.due(clock.nowMs(), target -> true).forEach(order -> send(desk, order));
     }
-    boolean stale = desks.values().stream().anyMatch(LeaseDesk::hasStaleTokens);
+    boolean stale = desks.values().stream().anyMatch(LeaseManager::hasStaleTokens);
     stopped |= stale && (storeReachable || !goesOnWhenStale);
   }
 
@@ -205,36 +205,36 @@
     return clock;
   }
 
-  private void decide(ServiceId service, LeaseDesk desk) {
+  private void decide(ServiceId service, LeaseManager desk) {
     // Who may take a name over has to know: no other holder is there while the term is confirmed.
     boolean unconfirmed = fleet.namesAreUsedAgain() && lostAt.isPresent();
     desk.setOutage(!storeReachable || unconfirmed);
-    List<LeaseTarget> usable = usable(service);
+    List<SimulatedTarget> usable = usable(service);
     if (usable.isEmpty()) {
       return;
     }
     if (!desk.isPartitioned()) {
-      desk.partition(usable.stream().map(LeaseHolder::listed).toList());
+      desk.partition(usable.stream().map(SimulatedTermHolder::listed).toList());
     }
     usable.forEach(run -> desk.onRestarted(run.id()));
-    Set<TargetId> ids = usable.stream().map(LeaseTarget::id).collect(Collectors.toSet());
-    desk.rangesOfOthers(ids::contains).forEach(keys -> moveAnywhere(desk, keys, usable));
+    Set<TargetId> ids = usable.stream().map(SimulatedTarget::id).collect(Collectors.toSet());
+    desk.rangesWithUnusableOwner(ids::contains).forEach(keys -> moveAnywhere(desk, keys, usable));
     if (time.onceIn(20)) {
-      moveAnywhere(desk, keysOf(time.draw(LeaseTarget.SAMPLES)), usable);
+      moveAnywhere(desk, keysOf(time.draw(SimulatedTarget.SAMPLES)), usable);
     }
     if (time.onceIn(40)) {
-      desk.joinNeighbours(clock.nowMs());
+      desk.mergeAdjacentRanges(clock.nowMs());
     }
   }
 
   /** Gives up to two of the keys that a run has to others. */
-  void moveFrom(LeaseTarget run) {
-    List<LeaseTarget> others = new ArrayList<>(usable(run.service()));
+  void moveFrom(SimulatedTarget run) {
+    List<SimulatedTarget> others = new ArrayList<>(usable(run.service()));
     others.remove(run);
     if (stopped || others.isEmpty()) {
       return;
     }
-    for (int moved = 0, sample = 0; sample < LeaseTarget.SAMPLES && moved < 2; sample++) {
+    for (int moved = 0, sample = 0; sample < SimulatedTarget.SAMPLES && moved < 2; sample++) {
       if (run.holds(sample, time.nowMs())) {
         moveAnywhere(desks.get(run.service()), keysOf(sample), others);
         moved++;
@@ -243,19 +243,19 @@
   }
 
   private static KeyRange keysOf(int sample) {
-    int first = sample * LeaseTarget.STEP;
-    return new KeyRange(first, first + LeaseTarget.STEP - 1);
+    int first = sample * SimulatedTarget.STEP;
+    return new KeyRange(first, first + SimulatedTarget.STEP - 1);
   }
 
-  private void moveAnywhere(LeaseDesk desk, KeyRange keys, List<LeaseTarget> usable) {
+  private void moveAnywhere(LeaseManager desk, KeyRange keys, List<SimulatedTarget> usable) {
     desk.move(keys, usable.get(time.draw(usable.size())).id(), clock.nowMs());
   }
 
   /** Returns the targets that may own keys, as far as this holder knows. */
-  private List<LeaseTarget> usable(ServiceId service) {
+  private List<SimulatedTarget> usable(ServiceId service) {
     long seenMs = time.nowMs() - listLagMs;
-    List<LeaseTarget> usable = new ArrayList<>();
-    for (LeaseTarget run : fleet.runs()) {
+    List<SimulatedTarget> usable = new ArrayList<>();
+    for (SimulatedTarget run : fleet.runs()) {
       if (run.service().equals(service)
           && run.isListed(seenMs, seenMs)
           && !gone.contains(run.id())) {
@@ -265,7 +265,7 @@
     return usable;
   }
 
-  private static FleetTarget listed(LeaseTarget run) {
+  private static FleetTarget listed(SimulatedTarget run) {
     return new FleetTarget(
         run.id(), run.service(), run.address(), new DataCentreId("zone"), 4, TargetPhase.READY, 0);
   }
@@ -281,13 +281,13 @@
       return;
     }
     writing = true;
-    Map<LeaseDesk, Long> versions = new LinkedHashMap<>();
+    Map<LeaseManager, Long> versions = new LinkedHashMap<>();
     desks.values().forEach(desk -> versions.put(desk, desk.version()));
     OwnershipRecord next =
         OwnershipRecord.of(
             term,
             desks.values().stream()
-                .filter(LeaseDesk::isPartitioned)
+                .filter(LeaseManager::isPartitioned)
                 .map(desk -> desk.table(clock.nowMs()))
                 .toList(),
             this::addressOf,
@@ -308,8 +308,8 @@
         });
   }
 
-  private void onWritten(Map<LeaseDesk, Long> versions, Optional<Runnable> afterwards) {
-    versions.forEach(LeaseDesk::onWritten);
+  private void onWritten(Map<LeaseManager, Long> versions, Optional<Runnable> afterwards) {
+    versions.forEach(LeaseManager::onWritten);
     if (!stopped) {
       afterwards.ifPresent(Runnable::run);
     }
@@ -336,20 +336,20 @@
     revision = store.revision();
   }
 
-  private void send(LeaseDesk desk, LeaseOrder order) {
+  private void send(LeaseManager desk, LeaseOrder order) {
     long sentMs = clock.nowMs();
-    LeaseTarget named = fleet.run(order.target());
+    SimulatedTarget named = fleet.run(order.target());
     boolean cut = named.address().equals(unreachable) && time.nowMs() < reachableAtMs;
     Optional<String> address = addressOf(order.target());
     if (cut || address.isEmpty()) {
       time.later(time.between(1, 60), () -> end(desk, order, OrderOutcome.NOT_SENT, sentMs));
       return;
     }
-    if (order.sameRunOnly() && !isConnected(address)) {
+    if (order.knownConnectionOnly() && !isConnected(address)) {
       time.later(1, () -> end(desk, order, OrderOutcome.NOT_SENT, sentMs));
       return;
     }
-    Optional<LeaseTarget> reached = fleet.runAt(address.get());
+    Optional<SimulatedTarget> reached = fleet.runAt(address.get());
     network.send(
         order,
         address.get(),
@@ -367,16 +367,16 @@
 
   /** Knows a target that it has seen listed, or whose address an earlier holder wrote. */
   private Optional<String> addressOf(TargetId id) {
-    LeaseTarget named = fleet.run(id);
+    SimulatedTarget named = fleet.run(id);
     boolean seen = named != null && named.isListed(startedMs - listLagMs, time.nowMs() - listLagMs);
     return seen ? Optional.of(named.address()) : Optional.ofNullable(storedAddresses.get(id));
   }
 
-  private void end(LeaseDesk desk, LeaseOrder order, OrderOutcome outcome, long sentMs) {
+  private void end(LeaseManager desk, LeaseOrder order, OrderOutcome outcome, long sentMs) {
     clock.awake(() -> noteEnd(desk, order, outcome, sentMs));
   }
 
-  private void noteEnd(LeaseDesk desk, LeaseOrder order, OrderOutcome outcome, long sentMs) {
+  private void noteEnd(LeaseManager desk, LeaseOrder order, OrderOutcome outcome, long sentMs) {
     if (order instanceof LeaseOrder.Grant grant) {
       desk.onGrantEnded(grant, outcome, sentMs, clock.nowMs());
     } else if (order instanceof LeaseOrder.Release release) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/send/SendGateTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/send/SendGateTest.java
@@ -16,16 +16,16 @@
 
   private long nowMs = 10_000;
   private final SendGate gate = new SendGate(() -> nowMs);
-  private final Map<SendCondition, SendFact> known = new EnumMap<>(SendCondition.class);
+  private final Map<SendCondition, ConditionStatus> known = new EnumMap<>(SendCondition.class);
   private final List<SendCondition> asked = new ArrayList<>();
 
   private Optional<SendObstacle> check(SendKind kind) {
     return gate.check(kind, this::factOf);
   }
 
-  private SendFact factOf(SendCondition condition, UpperTime now) {
+  private ConditionStatus factOf(SendCondition condition, UpperTime now) {
     asked.add(condition);
-    return known.getOrDefault(condition, SendFact.local(true, now));
+    return known.getOrDefault(condition, ConditionStatus.local(true, now));
   }
 
   @Test
@@ -40,7 +40,7 @@
   void everyConditionThatDoesNotHoldStopsWhatItConcerns() {
     for (SendCondition condition : SendCondition.values()) {
       known.clear();
-      known.put(condition, SendFact.local(false, new UpperTime(nowMs)));
+      known.put(condition, ConditionStatus.local(false, new UpperTime(nowMs)));
       for (SendKind kind : SendKind.values()) {
         Optional<SendObstacle> expected =
             condition.concerns(kind)
@@ -56,7 +56,7 @@
   void everyConditionThatIsOutOfDateStopsWhatItConcerns() {
     for (SendCondition condition : SendCondition.values()) {
       known.clear();
-      known.put(condition, SendFact.heard(true, new UpperTime(nowMs), MAX_AGE_MS));
+      known.put(condition, ConditionStatus.heard(true, new UpperTime(nowMs), MAX_AGE_MS));
       SendKind kind = condition.concerns(SendKind.REQUEST) ? SendKind.REQUEST : SendKind.GRANT;
       assertThat(check(kind)).isEmpty();
       nowMs += 2_000;
@@ -67,14 +67,15 @@
   @Test
   void whatWasNeverKnownStopsTheSend() {
     known.put(
-        SendCondition.TARGET_SERVES, SendFact.heard(true, UpperTime.NEVER, Long.MAX_VALUE / 4));
+        SendCondition.TARGET_SERVES,
+        ConditionStatus.heard(true, UpperTime.NEVER, Long.MAX_VALUE / 4));
     assertThat(check(SendKind.REQUEST))
         .hasValue(new SendObstacle(SendCondition.TARGET_SERVES, true));
   }
 
   @Test
   void nothingIsAskedAfterTheFirstObstacle() {
-    known.put(SendCondition.ATTEMPT_OPEN, SendFact.local(false, new UpperTime(nowMs)));
+    known.put(SendCondition.ATTEMPT_OPEN, ConditionStatus.local(false, new UpperTime(nowMs)));
     assertThat(check(SendKind.REQUEST)).isPresent();
     assertThat(asked).containsExactly(SendCondition.ATTEMPT_OPEN);
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureDesk.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.fleet.DepartureLedger;
 import io.cuminvalve.core.fleet.DepartureReport;
+import io.cuminvalve.core.fleet.DepartureTracker;
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.protocol.DepartureNews;
 import io.cuminvalve.core.protocol.FleetMessage;
@@ -23,7 +23,7 @@
  */
 final class DepartureDesk implements NewsExchange.Knowledge<DepartureNews> {
 
-  private final DepartureLedger ledger = new DepartureLedger();
+  private final DepartureTracker ledger = new DepartureTracker();
   private final FleetAudience audience;
   private final NewsExchange<DepartureNews> exchange;
   private final MillisClock clock;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetView.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetView.java
@@ -79,7 +79,7 @@
     List<FleetTarget> written = new ArrayList<>();
     for (FleetTarget target : now) {
       FleetTarget known = gone.remove(target.id());
-      if (!target.routesLike(known)) {
+      if (!target.hasSameRouting(known)) {
         written.add(target);
       }
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.lease.LeaseDesk;
+import io.cuminvalve.core.lease.LeaseManager;
 import io.cuminvalve.core.lease.LeaseOrder;
 import io.cuminvalve.core.lease.LeaseTimings;
 import io.cuminvalve.core.lease.OwnershipRecord;
@@ -249,7 +249,7 @@
     return ready && foreignLeases.isPresent() && foreignLeases.get().term() == storedTerm;
   }
 
-  private void limitForeignLeases(LeaseDesk desk) {
+  private void limitForeignLeases(LeaseManager desk) {
     foreignLeases
         .filter(left -> left.term() == storedTerm && !storedMayBeOld)
         .ifPresent(
@@ -442,7 +442,7 @@
   }
 
   private ServiceDuties newDuties(ServiceId id) {
-    LeaseDesk desk = new LeaseDesk(id, timings, this::nextToken);
+    LeaseManager desk = new LeaseManager(id, timings, this::nextToken);
     OwnershipTable table = stored.get(id);
     if (table != null && !table.assignments().isEmpty()) {
       desk.takeOver(table, clock.nowMs(), startedMs + timings.foreignLeaseMs());
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
@@ -1,14 +1,14 @@
 package io.cuminvalve.gateway.control;
 
 import io.cuminvalve.core.id.TargetId;
+import io.cuminvalve.core.send.ConditionLookup;
+import io.cuminvalve.core.send.ConditionStatus;
 import io.cuminvalve.core.send.SendCondition;
-import io.cuminvalve.core.send.SendFact;
-import io.cuminvalve.core.send.SendFacts;
 import io.cuminvalve.kernel.UpperTime;
 import java.util.function.BooleanSupplier;
 
 /** What the holder of the term knows, at the first byte of an order, that may forbid it. */
-final class OrderFacts implements SendFacts {
+final class OrderFacts implements ConditionLookup {
 
   /** An order that took longer to begin is decided on anew. */
   static final long DECISION_MAX_AGE_MS = 400;
@@ -35,13 +35,13 @@
   }
 
   @Override
-  public SendFact of(SendCondition condition, UpperTime now) {
+  public ConditionStatus of(SendCondition condition, UpperTime now) {
     return switch (condition) {
       case TERM_HELD ->
-          SendFact.heard(
+          ConditionStatus.heard(
               holdsTerm.getAsBoolean(), knowledge.termConfirmed(), knowledge.termMaxAgeMs());
-      case DECISION_RECENT -> SendFact.heard(true, decided, DECISION_MAX_AGE_MS);
-      case TARGET_RUNS -> SendFact.local(!knowledge.hasEnded(target), now);
+      case DECISION_RECENT -> ConditionStatus.heard(true, decided, DECISION_MAX_AGE_MS);
+      case TARGET_RUNS -> ConditionStatus.local(!knowledge.hasEnded(target), now);
       default -> throw new IllegalArgumentException("no condition of an order: " + condition);
     };
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
@@ -1,10 +1,10 @@
 package io.cuminvalve.gateway.control;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.lease.LeaseDesk;
+import io.cuminvalve.core.lease.LeaseManager;
 import io.cuminvalve.core.lease.LeaseOrder;
 import io.cuminvalve.core.lease.OrderOutcome;
-import io.cuminvalve.core.send.SendFacts;
+import io.cuminvalve.core.send.ConditionLookup;
 import io.cuminvalve.core.send.SendGate;
 import io.cuminvalve.core.send.SendKind;
 import io.cuminvalve.core.send.SendObstacle;
@@ -82,7 +82,7 @@
     return true;
   }
 
-  void send(LeaseDesk desk, LeaseOrder order) {
+  void send(LeaseManager desk, LeaseOrder order) {
     long sentMs = clock.nowMs();
     UpperTime decided = clock.upper();
     Optional<String> address = addresses.apply(order.target());
@@ -106,7 +106,7 @@
 
   /** Called on a thread of the client, once there is a connection. */
   private boolean mayBegin(LeaseOrder order, UpperTime decided) {
-    SendFacts facts = new OrderFacts(knowledge, () -> !closed, order.target(), decided);
+    ConditionLookup facts = new OrderFacts(knowledge, () -> !closed, order.target(), decided);
     SendKind kind = order instanceof LeaseOrder.Grant ? SendKind.GRANT : SendKind.RELEASE;
     Optional<SendObstacle> obstacle = gate.check(kind, facts);
     obstacle.ifPresent(
@@ -114,7 +114,7 @@
     return obstacle.isEmpty();
   }
 
-  private void onReply(LeaseDesk desk, LeaseOrder order, OrderReply reply, long sentMs) {
+  private void onReply(LeaseManager desk, LeaseOrder order, OrderReply reply, long sentMs) {
     if (closed) {
       return;
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServiceDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServiceDuties.java
@@ -15,7 +15,7 @@
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.lease.KeyRange;
-import io.cuminvalve.core.lease.LeaseDesk;
+import io.cuminvalve.core.lease.LeaseManager;
 import io.cuminvalve.core.lease.RangeRoute;
 import io.cuminvalve.core.protocol.KeyLoadReport;
 import io.cuminvalve.core.protocol.TargetTime;
@@ -69,7 +69,7 @@
   private static final int QUEUED_PER_SLOT = 5;
 
   private final ServiceId service;
-  private final LeaseDesk desk;
+  private final LeaseManager desk;
   private final DecisionLog log;
   private final KeyLoads loads;
   private final TargetSpeeds speeds = new TargetSpeeds();
@@ -90,7 +90,7 @@
 
   ServiceDuties(
       ServiceId service,
-      LeaseDesk desk,
+      LeaseManager desk,
       DecisionLog log,
       Function<TargetId, OptionalDouble> limits,
       Predicate<TargetId> resting,
@@ -107,7 +107,7 @@
     this.tidiedMs = nowMs;
   }
 
-  LeaseDesk desk() {
+  LeaseManager desk() {
     return desk;
   }
 
@@ -166,7 +166,7 @@
     if (nowMs - balancedMs >= BALANCE_MS) {
       balancedMs = nowMs;
       loads.decay(nowMs);
-      desk.joinNeighbours(nowMs);
+      desk.mergeAdjacentRanges(nowMs);
       List<TargetLoad> targets = targetLoads(usable, nowMs);
       if (storeAnswers) {
         balance(targets, nowMs);
@@ -208,7 +208,7 @@
   private void evacuate(List<FleetTarget> ready, long nowMs) {
     Set<TargetId> usable = new HashSet<>();
     ready.forEach(target -> usable.add(target.id()));
-    List<KeyRange> homeless = desk.rangesOfOthers(usable::contains);
+    List<KeyRange> homeless = desk.rangesWithUnusableOwner(usable::contains);
     if (homeless.isEmpty()) {
       return;
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
@@ -1,6 +1,6 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.fleet.DeputyChoice;
+import io.cuminvalve.core.fleet.DeputySelector;
 import io.cuminvalve.core.id.DataCentreId;
 import io.cuminvalve.core.protocol.FleetHello;
 import io.cuminvalve.core.protocol.FleetMessage;
@@ -76,9 +76,9 @@
   }
 
   private void chooseDeputies() {
-    List<DeputyChoice.Candidate> candidates = new ArrayList<>();
+    List<DeputySelector.Candidate> candidates = new ArrayList<>();
     byProcess.values().forEach(subscriber -> candidates.add(subscriber.candidate));
-    deputies = DeputyChoice.choose(candidates);
+    deputies = DeputySelector.choose(candidates);
   }
 
   /** Tells whether at least half of all that ever followed have said hello since a time. */
@@ -101,7 +101,7 @@
   private static final class Subscriber {
 
     private final PeerChannel channel;
-    private final DeputyChoice.Candidate candidate;
+    private final DeputySelector.Candidate candidate;
     private long heardMs;
     private long targetsDue;
     private long routesDue;
@@ -109,7 +109,7 @@
     Subscriber(PeerChannel channel, FleetHello hello) {
       this.channel = channel;
       this.candidate =
-          new DeputyChoice.Candidate(
+          new DeputySelector.Candidate(
               channel.peerAddress(), new DataCentreId(hello.dataCentre()), hello.processorCores());
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestFacts.java
@@ -4,9 +4,9 @@
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.lease.RangeRoute;
 import io.cuminvalve.core.route.RoutingConfiguration;
+import io.cuminvalve.core.send.ConditionLookup;
+import io.cuminvalve.core.send.ConditionStatus;
 import io.cuminvalve.core.send.SendCondition;
-import io.cuminvalve.core.send.SendFact;
-import io.cuminvalve.core.send.SendFacts;
 import io.cuminvalve.kernel.UpperTime;
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
@@ -17,7 +17,7 @@
  * <p>What the registry and the configuration say may be old while the store answers nobody: targets
  * that leave, and operators, cannot tell it either then.
  */
-final class RequestFacts implements SendFacts {
+final class RequestFacts implements ConditionLookup {
 
   /** A target may take requests for 2 s after it has said that it leaves; the way takes some. */
   static final long TARGETS_MAX_AGE_MS = 1_950;
@@ -56,38 +56,39 @@
   }
 
   @Override
-  public SendFact of(SendCondition condition, UpperTime now) {
+  public ConditionStatus of(SendCondition condition, UpperTime now) {
     TargetId target = slot.target().id();
     return switch (condition) {
-      case ATTEMPT_OPEN -> SendFact.local(open.getAsBoolean(), now);
-      case TIME_LEFT -> SendFact.local(call.deadline().sinceMs(now) > 0, now);
-      case TARGET_RUNS -> SendFact.local(!services.dispatcher().isReplaced(target), now);
+      case ATTEMPT_OPEN -> ConditionStatus.local(open.getAsBoolean(), now);
+      case TIME_LEFT -> ConditionStatus.local(call.deadline().sinceMs(now) > 0, now);
+      case TARGET_RUNS -> ConditionStatus.local(!services.dispatcher().isReplaced(target), now);
       case TARGET_SERVES -> targetServes(target);
-      case TARGET_RESTED -> SendFact.local(services.rests().leftMs(target) == 0, now);
+      case TARGET_RESTED -> ConditionStatus.local(services.rests().leftMs(target) == 0, now);
       case LIMIT_KEPT -> limitKept(target, now);
       case QUARANTINE_CLEAR ->
-          SendFact.local(services.quarantine().refusedForMs(call.identity(), runsBefore) == 0, now);
-      case KEY_OWNED -> SendFact.local(isOwner(target), now);
+          ConditionStatus.local(
+              services.quarantine().refusedForMs(call.identity(), runsBefore) == 0, now);
+      case KEY_OWNED -> ConditionStatus.local(isOwner(target), now);
       case ROUTE_IN_FORCE -> routeInForce();
-      case CALLER_PRESENT -> SendFact.local(call.isCallerPresent(), now);
+      case CALLER_PRESENT -> ConditionStatus.local(call.isCallerPresent(), now);
       case TERM_HELD, DECISION_RECENT ->
           throw new IllegalArgumentException("no condition of a request: " + condition);
     };
   }
 
-  private SendFact targetServes(TargetId target) {
+  private ConditionStatus targetServes(TargetId target) {
     // Read before the targets: a change in between may make them newer than this says, not older.
     UpperTime asOf = services.state().targetsConfirmed();
     boolean serves =
         services.state().current().target(target).filter(FleetTarget::isReady).isPresent()
             && !services.departures().isLeaving(target);
-    return SendFact.heard(serves, asOf, unlessSilent(TARGETS_MAX_AGE_MS));
+    return ConditionStatus.heard(serves, asOf, unlessSilent(TARGETS_MAX_AGE_MS));
   }
 
-  private SendFact limitKept(TargetId target, UpperTime now) {
+  private ConditionStatus limitKept(TargetId target, UpperTime now) {
     return services.quotas().isLimited(target)
-        ? SendFact.heard(true, slot.givenAt(), PERMIT_MAX_AGE_MS)
-        : SendFact.local(true, now);
+        ? ConditionStatus.heard(true, slot.givenAt(), PERMIT_MAX_AGE_MS)
+        : ConditionStatus.local(true, now);
   }
 
   private boolean isOwner(TargetId target) {
@@ -104,7 +105,7 @@
         .isPresent();
   }
 
-  private SendFact routeInForce() {
+  private ConditionStatus routeInForce() {
     UpperTime asOf = services.state().configurationConfirmed();
     Optional<RoutingConfiguration> known = services.state().current().configuration();
     boolean inForce =
@@ -114,7 +115,8 @@
                     configuration.version() == call.configurationVersion()
                         || leadsToService(configuration))
             .isPresent();
-    return SendFact.heard(inForce, asOf, unlessSilent(services.state().configurationMaxAgeMs()));
+    return ConditionStatus.heard(
+        inForce, asOf, unlessSilent(services.state().configurationMaxAgeMs()));
   }
 
   private boolean leadsToService(RoutingConfiguration configuration) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
@@ -2,7 +2,7 @@
 
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.fleet.TargetSignals;
-import io.cuminvalve.core.send.SendFacts;
+import io.cuminvalve.core.send.ConditionLookup;
 import io.cuminvalve.core.send.SendKind;
 import io.cuminvalve.core.send.SendObstacle;
 import io.cuminvalve.kernel.UpperTime;
@@ -131,7 +131,7 @@
   @Override
   public boolean onConnection(HttpFields.Mutable headers) {
     sentMs = services.clock().nowMs();
-    SendFacts facts = new RequestFacts(services, call, slot, runsBefore, () -> !ended.get());
+    ConditionLookup facts = new RequestFacts(services, call, slot, runsBefore, () -> !ended.get());
     obstacle = services.gate().check(SendKind.REQUEST, facts);
     if (obstacle.isPresent()) {
       return false;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServiceDutiesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServiceDutiesTest.java
@@ -8,7 +8,7 @@
 import io.cuminvalve.core.id.DataCentreId;
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.lease.LeaseDesk;
+import io.cuminvalve.core.lease.LeaseManager;
 import io.cuminvalve.core.lease.LeaseOrder;
 import io.cuminvalve.core.lease.LeaseTimings;
 import io.cuminvalve.core.lease.OrderOutcome;
@@ -39,7 +39,7 @@
   private final Map<TargetId, OptionalDouble> limits = new HashMap<>();
   private final Set<TargetId> resting = new HashSet<>();
   private long tokens;
-  private final LeaseDesk desk = new LeaseDesk(SERVICE, TIMINGS, () -> ++tokens);
+  private final LeaseManager desk = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
   private final ServiceDuties duties =
       new ServiceDuties(
           SERVICE,
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WaitBoundsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WaitBoundsTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.cuminvalve.core.fleet.DeputyChoice;
+import io.cuminvalve.core.fleet.DeputySelector;
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.fleet.TargetPhase;
 import io.cuminvalve.core.id.DataCentreId;
@@ -109,7 +109,7 @@
   /** Whoever has no wait of its own at the store hears nothing when its links fall silent. */
   @Test
   void silentLinksDelayChangesByLessThanTheirBoundWithoutWaits() {
-    assertThat(worstDelayMs(DeputyChoice.DEPUTIES + 2, 1, true)).isAtMost(IN_FORCE_MS);
+    assertThat(worstDelayMs(DeputySelector.DEPUTIES + 2, 1, true)).isAtMost(IN_FORCE_MS);
     assertThat(worstDelayMs(70, 1, true)).isAtMost(WIDE_IN_FORCE_MS);
     assertThat(worstDelayMs(87, 1, true)).isAtMost(WIDE_IN_FORCE_MS);
     assertThat(worstDelayMs(300, 0, true)).isAtMost(WIDE_IN_FORCE_MS);
