--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DepartureTracker.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DepartureTracker.java
@@ -21,10 +21,10 @@
 public final class DepartureTracker {
 
   /** Bounds the memory, also if every target of a large fleet leaves. */
-  static final int MOST_TARGETS = 1_024;
+  static final int MAX_TARGETS = 1_024;
 
   /** For how long a run that is not registered is remembered: entries may come back. */
-  static final long UNREGISTERED_MS = 60_000;
+  static final long UNREGISTERED_RETENTION_MS = 60_000;
 
   private final Map<TargetId, Long> sinceMs = new HashMap<>();
 
@@ -48,7 +48,7 @@
    */
   public boolean merge(DepartureReport report, long nowMs) {
     boolean known = sinceMs.containsKey(report.target());
-    if (known || sinceMs.size() < MOST_TARGETS) {
+    if (known || sinceMs.size() < MAX_TARGETS) {
       sinceMs.merge(report.target(), nowMs - report.ageMs(), Math::min);
     }
     return !known && sinceMs.containsKey(report.target());
@@ -102,6 +102,7 @@
         .entrySet()
         .removeIf(
             entry ->
-                nowMs - entry.getValue() > UNREGISTERED_MS && !registered.test(entry.getKey()));
+                nowMs - entry.getValue() > UNREGISTERED_RETENTION_MS
+                    && !registered.test(entry.getKey()));
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/GrantedLeases.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/GrantedLeases.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns these and the others, of which either may be in force. */
-  GrantedLeases joinedWith(GrantedLeases others) {
+  GrantedLeases mergedWith(GrantedLeases others) {
     GrantedLeases joined = this;
     for (Lease lease : others.leases) {
       joined = joined.with(lease.untilMs, lease.endedMs);
@@ -47,7 +47,7 @@
   }
 
   /** Another target answered to an order that was sent then: returns what may still be in force. */
-  GrantedLeases withoutThoseEndedBefore(long sentMs) {
+  GrantedLeases withoutGrantsEndedBefore(long sentMs) {
     return new GrantedLeases(leases.stream().filter(lease -> lease.endedMs >= sentMs).toList());
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
@@ -17,7 +17,7 @@
  * Grants, renews and moves the key ranges of one service, for the holder of the term.
  *
  * <p>What it promises: an order that gives keys to a target is issued only once the assignment is
- * durable and every target that may have held them is proved not to: it answered a release that
+ * durable and every target that may have leased them is proved not to: it answered a release that
  * carries the new token, or its lease has run out on the slowest clock allowed, or another target
  * answered in its place to an order that was sent after the last grant had ended. A grant without
  * an answer may be carried out later; until its time is over, a release alone is no proof. Not safe
@@ -68,16 +68,16 @@
     long token = tokens.getAsLong();
     version++;
     for (RangeAssignment assignment : table.assignments()) {
-      LeasedRange held = new LeasedRange(assignment.range(), assignment.owner(), token, version);
-      held.assumeForeignLease(foreignUntilMs);
+      LeasedRange leased = new LeasedRange(assignment.range(), assignment.owner(), token, version);
+      leased.assumeForeignLease(foreignUntilMs);
       for (TargetId id : assignment.previousOwners()) {
         long longestMs = Math.max(0, foreignUntilMs - nowMs);
         long leftMs = Math.min(longestMs, assignment.leftMs(id).orElse(longestMs));
-        held.assumePreviousOwner(id, nowMs + leftMs);
+        leased.assumePreviousOwner(id, nowMs + leftMs);
       }
       // Most leases outlive a change of the holder; a wrong guess costs a refused attempt.
-      held.assumeGranted();
-      ranges.add(held);
+      leased.assumeGranted();
+      ranges.add(leased);
     }
     routesChanged = true;
   }
@@ -89,7 +89,7 @@
    *     milliseconds
    */
   public void assumeUnknownOwners(long untilMs) {
-    ranges.forEach(held -> held.assumePreviousOwner(UNKNOWN_OWNER, untilMs));
+    ranges.forEach(leased -> leased.assumePreviousOwner(UNKNOWN_OWNER, untilMs));
     routesChanged = true;
   }
 
@@ -100,12 +100,12 @@
    * @param nowMs the time; milliseconds
    */
   public void limitForeignLeases(List<LeaseLeft> leases, long nowMs) {
-    for (LeasedRange held : ranges) {
-      held.limitForeign(target -> nowMs + longestLeft(leases, held.range(), target));
+    for (LeasedRange leased : ranges) {
+      leased.limitForeign(target -> nowMs + maxRemainingMs(leases, leased.range(), target));
     }
   }
 
-  private long longestLeft(List<LeaseLeft> leases, KeyRange range, TargetId target) {
+  private long maxRemainingMs(List<LeaseLeft> leases, KeyRange range, TargetId target) {
     long leftMs = 0;
     for (LeaseLeft lease : leases) {
       boolean overlaps = lease.firstKey() <= range.last() && range.first() <= lease.lastKey();
@@ -126,15 +126,18 @@
    */
   public List<LeaseLeft> leasesLeft(long nowMs) {
     List<LeaseLeft> result = new ArrayList<>();
-    for (LeasedRange held : ranges) {
-      addLeft(held.range(), held.owner(), held.ownerUntilMs() - nowMs, result);
-      held.previousOwners()
-          .forEach((id, past) -> addLeft(held.range(), id, past.untilMs() - nowMs, result));
+    for (LeasedRange leased : ranges) {
+      addRemaining(leased.range(), leased.owner(), leased.ownerUntilMs() - nowMs, result);
+      leased
+          .previousOwners()
+          .forEach(
+              (id, previous) ->
+                  addRemaining(leased.range(), id, previous.untilMs() - nowMs, result));
     }
     return result;
   }
 
-  private void addLeft(KeyRange range, TargetId target, long leftMs, List<LeaseLeft> result) {
+  private void addRemaining(KeyRange range, TargetId target, long leftMs, List<LeaseLeft> result) {
     if (leftMs > 0) {
       result.add(new LeaseLeft(service, range.first(), range.last(), target, leftMs));
     }
@@ -182,12 +185,12 @@
    * @param nowMs the time; milliseconds
    */
   public void move(KeyRange keys, TargetId to, long nowMs) {
-    ranges.cutOut(keys);
+    ranges.splitAt(keys);
     version++;
     long token = tokens.getAsLong();
-    for (LeasedRange held : ranges) {
-      if (keys.contains(held.range()) && !held.owner().equals(to)) {
-        held.reassign(to, token, version, nowMs);
+    for (LeasedRange leased : ranges) {
+      if (keys.contains(leased.range()) && !leased.owner().equals(to)) {
+        leased.reassign(to, token, version, nowMs);
       }
     }
     routesChanged = true;
@@ -209,7 +212,7 @@
    * @return never null
    */
   public List<KeyRange> rangesWithUnusableOwner(Predicate<TargetId> usable) {
-    return ranges.ofOthers(usable);
+    return ranges.withUnusableOwner(usable);
   }
 
   /**
@@ -220,7 +223,7 @@
    * @param id the target; not null
    */
   public void onGone(TargetId id) {
-    ranges.forEach(held -> held.askSoon(id));
+    ranges.forEach(leased -> leased.makeOrdersDue(id));
   }
 
   /**
@@ -235,8 +238,8 @@
    */
   public boolean onRestarted(TargetId run) {
     boolean takesOver = false;
-    for (LeasedRange held : ranges) {
-      takesOver |= held.onRestarted(run);
+    for (LeasedRange leased : ranges) {
+      takesOver |= leased.onRestarted(run);
     }
     routesChanged |= takesOver;
     return takesOver;
@@ -250,7 +253,7 @@
    */
   public void setOutage(boolean now) {
     if (now && !outage) {
-      ranges.forEach(LeasedRange::renewSoon);
+      ranges.forEach(LeasedRange::makeGrantDue);
     }
     outage = now;
   }
@@ -259,27 +262,27 @@
    * Returns the orders to send now.
    *
    * @param nowMs the time; milliseconds
-   * @param mayAsk tells whether a target may get one more order now; asked before each; not null
+   * @param canSendTo tells whether a target may get one more order now; asked before each; not null
    * @return never null; each counts as sent
    */
-  public List<LeaseOrder> due(long nowMs, Predicate<TargetId> mayAsk) {
+  public List<LeaseOrder> due(long nowMs, Predicate<TargetId> canSendTo) {
     List<LeaseOrder> orders = new ArrayList<>();
     List<LeasedRange> toGrant = new ArrayList<>();
-    for (LeasedRange held : ranges) {
-      if (held.neededVersion() > writtenVersion) {
+    for (LeasedRange leased : ranges) {
+      if (leased.neededVersion() > writtenVersion) {
         continue;
       }
-      cleanupPending |= held.dropFreeOwners(nowMs);
-      addReleases(held, nowMs, mayAsk, orders);
-      if (held.isGrantDue(nowMs)) {
-        toGrant.add(held);
+      cleanupPending |= leased.removeOwnersWithoutLease(nowMs);
+      addReleases(leased, nowMs, canSendTo, orders);
+      if (leased.isGrantDue(nowMs)) {
+        toGrant.add(leased);
       }
     }
     // Orders under way are bounded: those without a lease, then those that lose it first.
     toGrant.sort(Comparator.comparingLong(LeasedRange::renewedUntilMs));
-    for (LeasedRange held : toGrant) {
-      if (mayAsk.test(held.owner())) {
-        orders.add(grant(held, nowMs));
+    for (LeasedRange leased : toGrant) {
+      if (canSendTo.test(leased.owner())) {
+        orders.add(createGrant(leased, nowMs));
       }
     }
     return orders;
@@ -295,23 +298,30 @@
   }
 
   private void addReleases(
-      LeasedRange held, long nowMs, Predicate<TargetId> mayAsk, List<LeaseOrder> orders) {
-    for (Map.Entry<TargetId, PreviousOwner> entry : held.previousOwners().entrySet()) {
+      LeasedRange leased, long nowMs, Predicate<TargetId> canSendTo, List<LeaseOrder> orders) {
+    for (Map.Entry<TargetId, PreviousOwner> entry : leased.previousOwners().entrySet()) {
       boolean known = !entry.getKey().equals(UNKNOWN_OWNER);
-      if (known && entry.getValue().isReleaseDue(nowMs) && mayAsk.test(entry.getKey())) {
+      if (known && entry.getValue().isReleaseDue(nowMs) && canSendTo.test(entry.getKey())) {
         entry.getValue().onReleaseSent(nowMs);
         orders.add(
-            new LeaseOrder.Release(service, entry.getKey(), held.range(), held.token(), outage));
+            new LeaseOrder.Release(
+                service, entry.getKey(), leased.range(), leased.token(), outage));
       }
     }
   }
 
-  private LeaseOrder.Grant grant(LeasedRange held, long nowMs) {
-    held.useFreshToken(tokens);
+  private LeaseOrder.Grant createGrant(LeasedRange leased, long nowMs) {
+    leased.useFreshToken(tokens);
     long leaseMs = outage ? timings.outageLeaseMs() : timings.leaseMs();
-    held.onGrantSent(nowMs + timings.boundMs(leaseMs));
+    leased.onGrantSent(nowMs + timings.boundMs(leaseMs));
     return new LeaseOrder.Grant(
-        service, held.owner(), held.range(), held.token(), leaseMs, held.handover(), outage);
+        service,
+        leased.owner(),
+        leased.range(),
+        leased.token(),
+        leaseMs,
+        leased.handover(),
+        outage);
   }
 
   /**
@@ -325,20 +335,20 @@
    */
   public boolean onGrantEnded(
       LeaseOrder.Grant order, OrderOutcome outcome, long sentMs, long nowMs) {
-    noteEnded(order, outcome, sentMs);
+    handleOtherTarget(order, outcome, sentMs);
     long nextMs = outcome == OrderOutcome.DONE ? sentMs + renewMs() : nowMs + timings.retryMs();
     boolean opened = false;
-    for (LeasedRange held : ranges) {
-      if (!order.range().contains(held.range())) {
+    for (LeasedRange leased : ranges) {
+      if (!order.range().contains(leased.range())) {
         continue;
       }
-      if (held.token() == order.token() && held.owner().equals(order.target())) {
-        boolean wasOpen = held.isOpen();
-        held.onGrantEnded(outcome, nowMs, nextMs);
-        opened |= !wasOpen && held.isOpen();
-        routesChanged |= wasOpen != held.isOpen();
+      if (leased.token() == order.token() && leased.owner().equals(order.target())) {
+        boolean wasOpen = leased.isOpen();
+        leased.onGrantEnded(outcome, nowMs, nextMs);
+        opened |= !wasOpen && leased.isOpen();
+        routesChanged |= wasOpen != leased.isOpen();
       }
-      PreviousOwner previous = held.previousOwners().get(order.target());
+      PreviousOwner previous = leased.previousOwners().get(order.target());
       if (previous != null) {
         previous.onGrantEnded(outcome, nowMs);
       }
@@ -356,26 +366,26 @@
    */
   public void onReleaseEnded(
       LeaseOrder.Release order, OrderOutcome outcome, Optional<String> handover, long nowMs) {
-    noteEnded(order, outcome, ranges.releaseSentMs(order));
+    handleOtherTarget(order, outcome, ranges.releaseSentMs(order));
     long nextMs = nowMs + timings.retryMs();
-    for (LeasedRange held : ranges) {
-      if (!order.range().contains(held.range()) || held.token() != order.token()) {
+    for (LeasedRange leased : ranges) {
+      if (!order.range().contains(leased.range()) || leased.token() != order.token()) {
         continue;
       }
       if (outcome == OrderOutcome.DONE) {
-        held.onReleased(order.target(), handover, nextMs);
+        leased.onReleased(order.target(), handover, nextMs);
         continue;
       }
-      PreviousOwner previous = held.previousOwners().get(order.target());
+      PreviousOwner previous = leased.previousOwners().get(order.target());
       if (previous != null) {
         previous.onReleaseEnded(false, nextMs);
       }
     }
   }
 
-  private void noteEnded(LeaseOrder order, OrderOutcome outcome, long sentMs) {
+  private void handleOtherTarget(LeaseOrder order, OrderOutcome outcome, long sentMs) {
     if (outcome == OrderOutcome.OTHER_TARGET) {
-      ranges.forEach(held -> held.onOtherTarget(order.target(), sentMs));
+      ranges.forEach(leased -> leased.onOtherTarget(order.target(), sentMs));
     }
   }
 
@@ -390,9 +400,9 @@
 
   /** Goes on with higher tokens where ours were stale, once the term is confirmed. */
   public void renewTokens() {
-    for (LeasedRange held : ranges) {
-      if (held.isStale()) {
-        held.restartWith(tokens.getAsLong());
+    for (LeasedRange leased : ranges) {
+      if (leased.isStale()) {
+        leased.resetWithToken(tokens.getAsLong());
       }
     }
   }
@@ -429,7 +439,7 @@
   /**
    * Tells whether assignments wait for being written.
    *
-   * @return true if orders are held back until they are
+   * @return true if orders are leased back until they are
    */
   public boolean needsWrite() {
     return version > writtenVersion;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
@@ -154,7 +154,7 @@
     foreignUntilMs = 0;
     unansweredUntilMs = 0;
     handover = Optional.empty();
-    restartWith(newToken);
+    resetWithToken(newToken);
     granted = false;
   }
 
@@ -165,7 +165,7 @@
       if (run.isLaterRunOf(id)) {
         PreviousOwner previous = previousOwners.remove(id);
         previous.onRestarted();
-        previousOwners.merge(run, previous, PreviousOwner::joinedWith);
+        previousOwners.merge(run, previous, PreviousOwner::mergedWith);
         takesOver = true;
       }
     }
@@ -196,12 +196,12 @@
     tokenSent = true;
   }
 
-  void renewSoon() {
+  void makeGrantDue() {
     nextGrantMs = 0;
   }
 
   /** Goes on with the same owner under a higher token. */
-  void restartWith(long newToken) {
+  void resetWithToken(long newToken) {
     token = newToken;
     tokenSent = false;
     stale = false;
@@ -246,13 +246,13 @@
   }
 
   /** The target is said to have ended: it is asked at once, which proves it or not. */
-  void askSoon(TargetId id) {
+  void makeOrdersDue(TargetId id) {
     PreviousOwner previous = previousOwners.get(id);
     if (previous != null) {
-      previous.releaseSoon();
+      previous.makeReleaseDue();
     }
     if (owner.equals(id)) {
-      renewSoon();
+      makeGrantDue();
     }
   }
 
@@ -263,27 +263,27 @@
       previous.onOtherTarget(sentMs);
     }
     if (owner.equals(id)) {
-      leases = leases.withoutThoseEndedBefore(sentMs);
+      leases = leases.withoutGrantsEndedBefore(sentMs);
       foreignUntilMs = 0;
     }
   }
 
   /** Drops the previous owners that hold nothing any more. Tells whether there were any. */
-  boolean dropFreeOwners(long nowMs) {
-    return previousOwners.values().removeIf(previous -> previous.isFree(nowMs));
+  boolean removeOwnersWithoutLease(long nowMs) {
+    return previousOwners.values().removeIf(previous -> previous.holdsNoLease(nowMs));
   }
 
   /** Tells whether a neighbour is in the same state, so that one lease can serve both. */
-  boolean joins(LeasedRange next, long nowMs) {
+  boolean canMergeWith(LeasedRange next, long nowMs) {
     return owner.equals(next.owner)
         && isSettled(nowMs)
         && next.isSettled(nowMs)
         && range.last() + 1 == next.range.first();
   }
 
-  LeasedRange joinedWith(LeasedRange next) {
+  LeasedRange mergedWith(LeasedRange next) {
     LeasedRange joined = withKeys(new KeyRange(range.first(), next.range.last()));
-    joined.leases = leases.joinedWith(next.leases);
+    joined.leases = leases.mergedWith(next.leases);
     joined.foreignUntilMs = Math.max(foreignUntilMs, next.foreignUntilMs);
     joined.neededVersion = Math.max(neededVersion, next.neededVersion);
     return joined;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRanges.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRanges.java
@@ -19,8 +19,8 @@
 
   private List<LeasedRange> ranges = new ArrayList<>();
 
-  void add(LeasedRange held) {
-    ranges.add(held);
+  void add(LeasedRange leased) {
+    ranges.add(leased);
   }
 
   int size() {
@@ -38,9 +38,9 @@
   /** Returns when a release was sent; 0 if nothing waits for its answer any more. */
   long releaseSentMs(LeaseOrder.Release order) {
     long sentMs = 0;
-    for (LeasedRange held : ranges) {
-      PreviousOwner previous = held.previousOwners().get(order.target());
-      if (previous != null && held.token() == order.token()) {
+    for (LeasedRange leased : ranges) {
+      PreviousOwner previous = leased.previousOwners().get(order.target());
+      if (previous != null && leased.token() == order.token()) {
         sentMs = previous.releaseSentMs();
       }
     }
@@ -53,22 +53,22 @@
   }
 
   /** Cuts ranges so that none lies partly in the given one. */
-  void cutOut(KeyRange keys) {
+  void splitAt(KeyRange keys) {
     List<LeasedRange> cut = new ArrayList<>();
-    for (LeasedRange held : ranges) {
-      KeyRange range = held.range();
+    for (LeasedRange leased : ranges) {
+      KeyRange range = leased.range();
       int from = Math.max(range.first(), keys.first());
       int to = Math.min(range.last(), keys.last());
       if (from > to || (from == range.first() && to == range.last())) {
-        cut.add(held);
+        cut.add(leased);
         continue;
       }
       if (range.first() < from) {
-        cut.add(held.withKeys(new KeyRange(range.first(), from - 1)));
+        cut.add(leased.withKeys(new KeyRange(range.first(), from - 1)));
       }
-      cut.add(held.withKeys(new KeyRange(from, to)));
+      cut.add(leased.withKeys(new KeyRange(from, to)));
       if (to < range.last()) {
-        cut.add(held.withKeys(new KeyRange(to + 1, range.last())));
+        cut.add(leased.withKeys(new KeyRange(to + 1, range.last())));
       }
     }
     ranges = cut;
@@ -77,16 +77,16 @@
   /** Joins neighbours of one owner on which nothing is under way. */
   void mergeAdjacentRanges(long nowMs, LongSupplier tokens) {
     List<LeasedRange> joined = new ArrayList<>();
-    for (LeasedRange held : ranges) {
+    for (LeasedRange leased : ranges) {
       LeasedRange last = joined.isEmpty() ? null : joined.get(joined.size() - 1);
-      if (last == null || !last.joins(held, nowMs)) {
-        joined.add(held);
+      if (last == null || !last.canMergeWith(leased, nowMs)) {
+        joined.add(leased);
         continue;
       }
-      boolean sameToken = last.token() == held.token();
-      LeasedRange both = last.joinedWith(held);
+      boolean sameToken = last.token() == leased.token();
+      LeasedRange both = last.mergedWith(leased);
       if (!sameToken) {
-        both.restartWith(tokens.getAsLong());
+        both.resetWithToken(tokens.getAsLong());
       }
       joined.set(joined.size() - 1, both);
     }
@@ -94,11 +94,11 @@
   }
 
   /** Returns the ranges whose owner must not have them any longer. */
-  List<KeyRange> ofOthers(Predicate<TargetId> usable) {
+  List<KeyRange> withUnusableOwner(Predicate<TargetId> usable) {
     List<KeyRange> result = new ArrayList<>();
-    for (LeasedRange held : ranges) {
-      if (!usable.test(held.owner())) {
-        result.add(held.range());
+    for (LeasedRange leased : ranges) {
+      if (!usable.test(leased.owner())) {
+        result.add(leased.range());
       }
     }
     return result;
@@ -107,9 +107,9 @@
   /** Returns the ranges of each owner on which nothing is under way, or the others. */
   Map<TargetId, List<KeyRange>> byOwner(boolean settled, long nowMs) {
     Map<TargetId, List<KeyRange>> result = new HashMap<>();
-    for (LeasedRange held : ranges) {
-      if (held.isSettled(nowMs) == settled) {
-        result.computeIfAbsent(held.owner(), id -> new ArrayList<>()).add(held.range());
+    for (LeasedRange leased : ranges) {
+      if (leased.isSettled(nowMs) == settled) {
+        result.computeIfAbsent(leased.owner(), id -> new ArrayList<>()).add(leased.range());
       }
     }
     return result;
@@ -118,14 +118,14 @@
   /** Returns what is to be stored. */
   List<RangeAssignment> assignments(long nowMs) {
     List<RangeAssignment> assignments = new ArrayList<>();
-    for (LeasedRange held : ranges) {
+    for (LeasedRange leased : ranges) {
       assignments.add(
           new RangeAssignment(
-              held.range().first(),
-              held.range().last(),
-              held.owner(),
-              List.copyOf(held.previousOwners().keySet()),
-              held.bounds(nowMs)));
+              leased.range().first(),
+              leased.range().last(),
+              leased.owner(),
+              List.copyOf(leased.previousOwners().keySet()),
+              leased.bounds(nowMs)));
     }
     return assignments;
   }
@@ -133,18 +133,19 @@
   /** Returns where requests go; neighbours for which the same holds are one route. */
   List<RangeRoute> routes(ToIntFunction<KeyRange> refusedPercent) {
     List<RangeRoute> routes = new ArrayList<>();
-    for (LeasedRange held : ranges) {
-      KeyRange range = held.range();
+    for (LeasedRange leased : ranges) {
+      KeyRange range = leased.range();
       int refused = refusedPercent.applyAsInt(range);
       RangeRoute last = routes.isEmpty() ? null : routes.get(routes.size() - 1);
-      boolean joins =
+      boolean sameRoute =
           last != null
-              && last.owner().equals(held.owner())
-              && last.open() == held.isOpen()
+              && last.owner().equals(leased.owner())
+              && last.open() == leased.isOpen()
               && last.refusedPercent() == refused;
-      int first = joins ? last.firstKey() : range.first();
-      RangeRoute route = new RangeRoute(first, range.last(), held.owner(), held.isOpen(), refused);
-      if (joins) {
+      int first = sameRoute ? last.firstKey() : range.first();
+      RangeRoute route =
+          new RangeRoute(first, range.last(), leased.owner(), leased.isOpen(), refused);
+      if (sameRoute) {
         routes.set(routes.size() - 1, route);
       } else {
         routes.add(route);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/PreviousOwner.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/PreviousOwner.java
@@ -39,9 +39,9 @@
   }
 
   /** Returns what holds for both of two that turn out to be the same target. */
-  PreviousOwner joinedWith(PreviousOwner other) {
+  PreviousOwner mergedWith(PreviousOwner other) {
     return new PreviousOwner(
-        leases.joinedWith(other.leases),
+        leases.mergedWith(other.leases),
         Math.max(inFlightUntilMs, other.inFlightUntilMs),
         Math.max(foreignUntilMs, other.foreignUntilMs),
         Math.max(unansweredUntilMs, other.unansweredUntilMs));
@@ -63,7 +63,7 @@
     }
   }
 
-  boolean isFree(long nowMs) {
+  boolean holdsNoLease(long nowMs) {
     return untilMs() <= nowMs || (released && unansweredUntilMs <= nowMs);
   }
 
@@ -80,7 +80,7 @@
     return !released && !releaseInFlight && nextReleaseMs <= nowMs;
   }
 
-  void releaseSoon() {
+  void makeReleaseDue() {
     nextReleaseMs = 0;
   }
 
@@ -114,7 +114,7 @@
 
   /** Another target answered to an order for this one that was sent then. */
   void onOtherTarget(long sentMs) {
-    leases = leases.withoutThoseEndedBefore(sentMs);
+    leases = leases.withoutGrantsEndedBefore(sentMs);
     foreignUntilMs = 0;
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/GrantedLeasesTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/GrantedLeasesTest.java
@@ -18,8 +18,8 @@
   /** Guards against a lease that is void although its grant may have met the next run. */
   @Test
   void onlyLeasesWhoseGrantsHadEndedBeforeTheOrderAreVoid() {
-    assertThat(LEASES.withoutThoseEndedBefore(2_000).untilMs()).isEqualTo(6_000);
-    assertThat(LEASES.withoutThoseEndedBefore(2_001).untilMs()).isEqualTo(0);
+    assertThat(LEASES.withoutGrantsEndedBefore(2_000).untilMs()).isEqualTo(6_000);
+    assertThat(LEASES.withoutGrantsEndedBefore(2_001).untilMs()).isEqualTo(0);
   }
 
   /** Leases get shorter when an outage of the store is over: the earlier one lasts longer. */
@@ -27,19 +27,19 @@
   void theShorterLeaseOfTheLaterGrantIsKept() {
     GrantedLeases afterOutage = GrantedLeases.NONE.with(11_000, 1_000).with(6_000, 2_000);
     assertThat(afterOutage.untilMs()).isEqualTo(11_000);
-    assertThat(afterOutage.withoutThoseEndedBefore(1_500).untilMs()).isEqualTo(6_000);
+    assertThat(afterOutage.withoutGrantsEndedBefore(1_500).untilMs()).isEqualTo(6_000);
   }
 
   @Test
   void grantsWhoseEndIsNotNoticedAreNeverVoid() {
     GrantedLeases leases = LEASES.withUnobserved(5_500);
-    assertThat(leases.withoutThoseEndedBefore(Long.MAX_VALUE).untilMs()).isEqualTo(5_500);
+    assertThat(leases.withoutGrantsEndedBefore(Long.MAX_VALUE).untilMs()).isEqualTo(5_500);
   }
 
   @Test
   void eitherOfTwoMayBeInForce() {
-    GrantedLeases joined = LEASES.joinedWith(GrantedLeases.NONE.with(4_000, 3_000));
+    GrantedLeases joined = LEASES.mergedWith(GrantedLeases.NONE.with(4_000, 3_000));
     assertThat(joined.untilMs()).isEqualTo(6_000);
-    assertThat(joined.withoutThoseEndedBefore(2_500).untilMs()).isEqualTo(4_000);
+    assertThat(joined.withoutGrantsEndedBefore(2_500).untilMs()).isEqualTo(4_000);
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
@@ -51,7 +51,7 @@
 
     private final VirtualTime time;
     private final SimulatedFleet fleet;
-    private final LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
+    private final LeaseInvariants invariants = new LeaseInvariants(SimulatedFleet.SERVICES);
     private final SimulatedNetwork network;
     private final SimulatedStore store = new SimulatedStore();
     private final List<SimulatedTermHolder> holders = new ArrayList<>();
@@ -59,22 +59,22 @@
     Suspension(long seed, long stepMs) {
       time = new VirtualTime(seed);
       fleet = new SimulatedFleet(time, ended -> {});
-      network = new SimulatedNetwork(time, fleet, promises, true);
+      network = new SimulatedNetwork(time, fleet, invariants, true);
       final SimulatedTermHolder first = addHolder();
-      pass(SETTLE_MS + time.between(0, RENEWED_EVERY_MS));
-      final SimulatedTarget owner = fleet.living().get(0);
+      pass(SETTLE_MS + time.nextMs(0, RENEWED_EVERY_MS));
+      final SimulatedTarget owner = fleet.running().get(0);
       // While it is suspended nobody reads its clocks.
-      first.cutOff(false);
+      first.loseTerm(false);
       first.clock().suspend(SUSPENDED_MS);
       first.clock().setTimeOfDay(stepMs);
       SimulatedTermHolder next = addHolder();
-      next.cutFrom(owner, time.nowMs() + SUSPENDED_MS + AFTERWARDS_MS);
+      next.blockPathTo(owner, time.nowMs() + SUSPENDED_MS + AFTERWARDS_MS);
       next.moveFrom(owner);
       pass(SUSPENDED_MS + AFTERWARDS_MS);
     }
 
     Collection<String> violations() {
-      return promises.violations().values();
+      return invariants.violations().values();
     }
 
     private SimulatedTermHolder addHolder() {
@@ -87,9 +87,9 @@
     private void pass(long durationMs) {
       long endMs = time.nowMs() + durationMs;
       while (time.nowMs() < endMs) {
-        time.pass(STEP_MS);
+        time.advance(STEP_MS);
         holders.forEach(SimulatedTermHolder::step);
-        promises.check(fleet.living(), time.nowMs());
+        invariants.check(fleet.running(), time.nowMs());
       }
     }
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HostClock.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HostClock.java
@@ -13,11 +13,12 @@
   private long suspendedMs;
   private long sleepsSinceMs;
   private long sleepsUntilMs;
-  private boolean gained;
+  private boolean clockGained;
 
   HostClock(VirtualTime time) {
     this.time = time;
-    this.clock = new SuspensionClock(this::steadyMs, this::timeOfDayMs, forMs -> gained = true);
+    this.clock =
+        new SuspensionClock(this::steadyMs, this::timeOfDayMs, forMs -> clockGained = true);
   }
 
   private long steadyMs() {
@@ -48,7 +49,7 @@
     if (!isAsleep()) {
       sleepsSinceMs = time.nowMs();
       sleepsUntilMs = time.nowMs() + forMs;
-      time.later(forMs, () -> suspendedMs += forMs);
+      time.schedule(forMs, () -> suspendedMs += forMs);
     }
   }
 
@@ -57,19 +58,19 @@
   }
 
   /** Runs something now, or when the host wakes up. */
-  void awake(Runnable action) {
+  void runWhenAwake(Runnable action) {
     if (isAsleep()) {
-      time.later(sleepsUntilMs - time.nowMs(), action);
+      time.schedule(sleepsUntilMs - time.nowMs(), action);
     } else {
       action.run();
     }
   }
 
-  /** Tells, once, whether the time of day has gained: the host may have been suspended. */
-  boolean takeGain() {
+  /** Tells, once, whether the time of day has clockGained: the host may have been suspended. */
+  boolean takeClockGain() {
     clock.upper();
-    boolean taken = gained;
-    gained = false;
+    boolean taken = clockGained;
+    clockGained = false;
     return taken;
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
@@ -28,26 +28,27 @@
   private long tokens;
   private final SuspensionClock clock =
       new SuspensionClock(() -> passedMs, () -> timeOfDayMs, forMs -> {});
-  private final LeaseManager desk = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
+  private final LeaseManager manager = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
 
   @BeforeEach
   void partition() {
-    desk.partition(List.of(target(A), target(B)));
-    desk.onWritten(desk.version());
-    desk.due(clock.nowMs(), target -> true)
+    manager.partition(List.of(target(A), target(B)));
+    manager.onWritten(manager.version());
+    manager
+        .due(clock.nowMs(), target -> true)
         .forEach(
             order ->
-                desk.onGrantEnded(
+                manager.onGrantEnded(
                     (LeaseOrder.Grant) order, OrderOutcome.DONE, clock.nowMs(), clock.nowMs()));
   }
 
   /** Guards against keys that are granted to a second target since the time of day was set. */
   @Test
   void leasesRunOnWhenTheTimeOfDayIsSetAhead() {
-    desk.move(FIRST_KEYS, B, clock.nowMs());
-    desk.onWritten(desk.version());
-    for (LeaseOrder order : desk.due(clock.nowMs(), target -> true)) {
-      desk.onReleaseEnded(
+    manager.move(FIRST_KEYS, B, clock.nowMs());
+    manager.onWritten(manager.version());
+    for (LeaseOrder order : manager.due(clock.nowMs(), target -> true)) {
+      manager.onReleaseEnded(
           (LeaseOrder.Release) order, OrderOutcome.UNANSWERED, Optional.empty(), clock.nowMs());
     }
     final long endsMs = TIMINGS.boundMs(TIMINGS.leaseMs());
@@ -69,7 +70,7 @@
   }
 
   private long grantsOfFirstKeysToB() {
-    return desk.due(clock.nowMs(), target -> true).stream()
+    return manager.due(clock.nowMs(), target -> true).stream()
         .filter(LeaseOrder.Grant.class::isInstance)
         .filter(order -> order.target().equals(B) && order.range().contains(FIRST_KEYS))
         .count();
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseInvariants.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseInvariants.java
@@ -24,14 +24,14 @@
     services.forEach(service -> owned.put(service, new OwnedKeys(service)));
   }
 
-  /** Returns the first violation of each kind; empty if all promises were kept. */
+  /** Returns the first violation of each kind; empty if all invariants were kept. */
   Map<Violation, String> violations() {
     return violations;
   }
 
   /** Returns how many keys of each service had an owner at most at one time, the least of all. */
-  int ownedAtMost() {
-    return owned.values().stream().mapToInt(keys -> keys.ownedAtMost).min().orElse(0);
+  int maxOwnedKeys() {
+    return owned.values().stream().mapToInt(keys -> keys.maxOwnedKeys).min().orElse(0);
   }
 
   /** A run has carried out a grant; perhaps so late that it holds nothing by it. */
@@ -57,7 +57,7 @@
 
     private final ServiceId service;
     private final Map<Integer, Map<SimulatedTarget, Long>> tokens = new HashMap<>();
-    private int ownedAtMost;
+    private int maxOwnedKeys;
 
     OwnedKeys(ServiceId service) {
       this.service = service;
@@ -88,7 +88,7 @@
       for (int sample = 0; sample < SimulatedTarget.SAMPLES; sample++) {
         SimulatedTarget owner = null;
         for (SimulatedTarget run : runs) {
-          if (!run.holds(sample, nowMs) || !service.equals(run.heldFor(sample))) {
+          if (!run.holds(sample, nowMs) || !service.equals(run.lastGrantedFor(sample))) {
             continue;
           }
           if (owner != null) {
@@ -99,7 +99,7 @@
         }
         ownedNow += owner == null ? 0 : 1;
       }
-      ownedAtMost = Math.max(ownedAtMost, ownedNow);
+      maxOwnedKeys = Math.max(maxOwnedKeys, ownedNow);
     }
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseManagerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseManagerTest.java
@@ -23,28 +23,28 @@
   private static final KeyRange FIRST_KEYS = new KeyRange(0, 99);
 
   private long tokens;
-  private final LeaseManager desk = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
+  private final LeaseManager manager = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
 
   @BeforeEach
   void partition() {
-    desk.partition(List.of(target(A), target(B)));
-    desk.onWritten(desk.version());
+    manager.partition(List.of(target(A), target(B)));
+    manager.onWritten(manager.version());
     due(0).forEach(order -> grantEnds(order, OrderOutcome.DONE, 0));
   }
 
   @Test
   void nothingIsOrderedBeforeItIsDurable() {
-    desk.move(FIRST_KEYS, B, 100);
+    manager.move(FIRST_KEYS, B, 100);
     assertThat(due(100)).isEmpty();
-    desk.onWritten(desk.version());
+    manager.onWritten(manager.version());
     assertThat(due(100)).hasSize(1);
   }
 
   @Test
   void theLeaseThatEndsFirstIsRenewedFirst() {
-    desk.due(1_000, A::equals).forEach(order -> grantEnds(order, OrderOutcome.DONE, 1_000));
+    manager.due(1_000, A::equals).forEach(order -> grantEnds(order, OrderOutcome.DONE, 1_000));
     AtomicInteger places = new AtomicInteger(1);
-    List<LeaseOrder> orders = desk.due(2_100, target -> places.getAndDecrement() > 0);
+    List<LeaseOrder> orders = manager.due(2_100, target -> places.getAndDecrement() > 0);
     assertThat(orders).hasSize(1);
     assertThat(orders.get(0).target()).isEqualTo(B);
   }
@@ -52,20 +52,20 @@
   @Test
   void manyLeasesAreRenewedLessOften() {
     for (int first = 0; first < 600; first += 2) {
-      desk.move(new KeyRange(first, first), B, 100);
+      manager.move(new KeyRange(first, first), B, 100);
     }
-    desk.onWritten(desk.version());
+    manager.onWritten(manager.version());
     for (int round = 0; round < 3; round++) {
       due(1_000).forEach(order -> answer(order, 1_000));
     }
-    assertThat(desk.rangeCount()).isAtLeast(400);
+    assertThat(manager.rangeCount()).isAtLeast(400);
     assertThat(due(1_000 + TIMINGS.maxRenewMs() - 1).isEmpty()).isTrue();
     assertThat(due(1_000 + TIMINGS.maxRenewMs()).isEmpty()).isFalse();
   }
 
   private void answer(LeaseOrder order, long nowMs) {
     if (order instanceof LeaseOrder.Release release) {
-      desk.onReleaseEnded(release, OrderOutcome.DONE, Optional.empty(), nowMs);
+      manager.onReleaseEnded(release, OrderOutcome.DONE, Optional.empty(), nowMs);
     } else {
       grantEnds(order, OrderOutcome.DONE, nowMs);
     }
@@ -75,22 +75,22 @@
   void theNextOwnerIsGrantedAfterTheReleaseIsAnswered() {
     LeaseOrder.Release release = moveFirstKeysToB();
     assertThat(release.target()).isEqualTo(A);
-    assertThat(desk.routes().get(0).open()).isFalse();
-    desk.onReleaseEnded(release, OrderOutcome.DONE, Optional.of("handover"), 150);
+    assertThat(manager.routes().get(0).open()).isFalse();
+    manager.onReleaseEnded(release, OrderOutcome.DONE, Optional.of("handover"), 150);
     LeaseOrder.Grant grant = (LeaseOrder.Grant) due(150).get(0);
     assertThat(grant.target()).isEqualTo(B);
     assertThat(grant.token()).isEqualTo(release.token());
     assertThat(grant.handover()).hasValue("handover");
     grantEnds(grant, OrderOutcome.DONE, 150);
-    assertThat(desk.routes().get(0).owner()).isEqualTo(B);
-    assertThat(desk.routes().get(0).open()).isTrue();
+    assertThat(manager.routes().get(0).owner()).isEqualTo(B);
+    assertThat(manager.routes().get(0).open()).isTrue();
   }
 
   /** The record that was read is older than moves that were made: any target may hold any key. */
   @Test
   void whileOwnersAreUnknownNothingIsGrantedOrAsked() {
     LeaseManager next = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
-    next.takeOver(desk.table(0), 0, 10_000);
+    next.takeOver(manager.table(0), 0, 10_000);
     next.assumeUnknownOwners(10_000);
     next.onWritten(next.version());
     assertThat(next.routes().stream().anyMatch(RangeRoute::open)).isFalse();
@@ -102,7 +102,7 @@
   @Test
   void withoutAnAnswerTheLeaseHasToRunOut() {
     LeaseOrder.Release release = moveFirstKeysToB();
-    desk.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), 150);
+    manager.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), 150);
     long endsMs = TIMINGS.boundMs(TIMINGS.leaseMs());
     assertThat(grantsTo(B, due(endsMs - 1))).isEmpty();
     assertThat(grantsTo(B, due(endsMs))).hasSize(1);
@@ -111,9 +111,9 @@
   @Test
   void theGrantThatMayStillBeCarriedOutIsWaitedFor() {
     LeaseOrder.Grant renewal = (LeaseOrder.Grant) grantsTo(A, due(1_000)).get(0);
-    desk.onGrantEnded(renewal, OrderOutcome.UNANSWERED, 1_000, 1_100);
+    manager.onGrantEnded(renewal, OrderOutcome.UNANSWERED, 1_000, 1_100);
     LeaseOrder.Release release = moveFirstKeysToB();
-    desk.onReleaseEnded(release, OrderOutcome.DONE, Optional.empty(), 1_200);
+    manager.onReleaseEnded(release, OrderOutcome.DONE, Optional.empty(), 1_200);
     long endsMs = 1_000 + TIMINGS.boundMs(TIMINGS.leaseMs());
     assertThat(grantsTo(B, due(endsMs - 1))).isEmpty();
     assertThat(grantsTo(B, due(endsMs))).hasSize(1);
@@ -122,12 +122,12 @@
   /** One answer is enough for all ranges of the target, whatever became of other releases. */
   @Test
   void anotherTargetInItsPlaceEndsEveryLeaseGrantedBefore() {
-    desk.move(FIRST_KEYS, B, 100);
-    desk.move(KeyRange.ALL, B, 100);
-    desk.onWritten(desk.version());
+    manager.move(FIRST_KEYS, B, 100);
+    manager.move(KeyRange.ALL, B, 100);
+    manager.onWritten(manager.version());
     List<LeaseOrder> releases = due(100);
     assertThat(releases).hasSize(2);
-    desk.onReleaseEnded(
+    manager.onReleaseEnded(
         (LeaseOrder.Release) releases.get(1), OrderOutcome.OTHER_TARGET, Optional.empty(), 101);
     assertThat(grantsTo(B, due(101))).hasSize(1);
   }
@@ -136,9 +136,9 @@
   @Test
   void newsThatTheTargetHasEndedEndsNoLease() {
     LeaseOrder.Release release = moveFirstKeysToB();
-    desk.onGone(A);
-    desk.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), 150);
-    desk.onGone(A);
+    manager.onGone(A);
+    manager.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), 150);
+    manager.onGone(A);
     long endsMs = TIMINGS.boundMs(TIMINGS.leaseMs());
     assertThat(grantsTo(B, due(endsMs - 1))).isEmpty();
     assertThat(grantsTo(B, due(endsMs))).hasSize(1);
@@ -148,9 +148,9 @@
   @Test
   void newsThatTheTargetHasEndedIsLookedIntoAtOnce() {
     LeaseOrder.Release release = moveFirstKeysToB();
-    desk.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), 150);
+    manager.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), 150);
     assertThat(due(151)).isEmpty();
-    desk.onGone(A);
+    manager.onGone(A);
     assertThat(due(151)).isNotEmpty();
   }
 
@@ -162,9 +162,9 @@
         (LeaseOrder.Grant)
             due(1_000).stream().filter(order -> order.target().equals(A)).findFirst().orElseThrow();
     grantEnds(other, OrderOutcome.DONE, 1_010);
-    desk.onReleaseEnded(release, OrderOutcome.OTHER_TARGET, Optional.empty(), 1_020);
-    desk.move(other.range(), B, 1_030);
-    desk.onWritten(desk.version());
+    manager.onReleaseEnded(release, OrderOutcome.OTHER_TARGET, Optional.empty(), 1_020);
+    manager.move(other.range(), B, 1_030);
+    manager.onWritten(manager.version());
     long endsMs = 1_000 + TIMINGS.boundMs(TIMINGS.leaseMs());
     assertThat(grantsOf(other.range(), due(endsMs - 1))).isEmpty();
     assertThat(grantsOf(other.range(), due(endsMs))).hasSize(1);
@@ -173,10 +173,10 @@
   @Test
   void theRenewalThatMeetsAnotherRunProvesThatTheOwnerHasEnded() {
     LeaseOrder.Grant renewal = (LeaseOrder.Grant) grantsTo(A, due(1_000)).get(0);
-    desk.onGrantEnded(renewal, OrderOutcome.OTHER_TARGET, 1_000, 1_010);
-    assertThat(desk.routes().get(0).open()).isFalse();
-    desk.move(renewal.range(), B, 1_010);
-    desk.onWritten(desk.version());
+    manager.onGrantEnded(renewal, OrderOutcome.OTHER_TARGET, 1_000, 1_010);
+    assertThat(manager.routes().get(0).open()).isFalse();
+    manager.move(renewal.range(), B, 1_010);
+    manager.onWritten(manager.version());
     LeaseOrder.Grant next = (LeaseOrder.Grant) grantsTo(B, due(1_010)).get(0);
     assertThat(next.token()).isGreaterThan(renewal.token());
   }
@@ -184,27 +184,27 @@
   @Test
   void theReleaseThatMeetsAnotherRunFreesTheKeys() {
     LeaseOrder.Release release = moveFirstKeysToB();
-    desk.onReleaseEnded(release, OrderOutcome.OTHER_TARGET, Optional.empty(), 150);
+    manager.onReleaseEnded(release, OrderOutcome.OTHER_TARGET, Optional.empty(), 150);
     assertThat(grantsTo(B, due(150))).hasSize(1);
   }
 
   @Test
   void onlyTheGrantThatOpensKeysSaysSo() {
     LeaseOrder.Release release = moveFirstKeysToB();
-    desk.onReleaseEnded(release, OrderOutcome.DONE, Optional.empty(), 150);
+    manager.onReleaseEnded(release, OrderOutcome.DONE, Optional.empty(), 150);
     LeaseOrder.Grant grant = (LeaseOrder.Grant) grantsTo(B, due(150)).get(0);
-    assertThat(desk.onGrantEnded(grant, OrderOutcome.DONE, 150, 160)).isTrue();
+    assertThat(manager.onGrantEnded(grant, OrderOutcome.DONE, 150, 160)).isTrue();
     LeaseOrder.Grant renewal = (LeaseOrder.Grant) grantsTo(B, due(1_200)).get(0);
-    assertThat(desk.onGrantEnded(renewal, OrderOutcome.DONE, 1_200, 1_210)).isFalse();
+    assertThat(manager.onGrantEnded(renewal, OrderOutcome.DONE, 1_200, 1_210)).isFalse();
   }
 
   @Test
   void theStaleTokenStopsRenewalsUntilTheTermIsConfirmed() {
     LeaseOrder.Grant renewal = (LeaseOrder.Grant) grantsTo(A, due(1_000)).get(0);
-    desk.onGrantEnded(renewal, OrderOutcome.STALE, 1_000, 1_010);
-    assertThat(desk.hasStaleTokens()).isTrue();
+    manager.onGrantEnded(renewal, OrderOutcome.STALE, 1_000, 1_010);
+    assertThat(manager.hasStaleTokens()).isTrue();
     assertThat(grantsTo(A, due(5_000))).isEmpty();
-    desk.renewTokens();
+    manager.renewTokens();
     LeaseOrder.Grant next = (LeaseOrder.Grant) grantsTo(A, due(5_000)).get(0);
     assertThat(next.token()).isGreaterThan(renewal.token());
   }
@@ -212,7 +212,7 @@
   @Test
   void takingOverGrantsToTheSameOwnersUnderHigherTokens() {
     LeaseManager next = new LeaseManager(SERVICE, TIMINGS, () -> 1_000 + ++tokens);
-    next.takeOver(desk.table(0), 0, 20_000);
+    next.takeOver(manager.table(0), 0, 20_000);
     assertThat(next.due(0, target -> true)).isEmpty();
     next.onWritten(next.version());
     List<LeaseOrder> orders = next.due(0, target -> true);
@@ -224,11 +224,11 @@
   @Test
   void inAnOutageLeasesAreRenewedAtOnceAndForLonger() {
     assertThat(due(500)).isEmpty();
-    desk.setOutage(true);
+    manager.setOutage(true);
     LeaseOrder.Grant grant = (LeaseOrder.Grant) grantsTo(A, due(500)).get(0);
     assertThat(grant.leaseMs()).isEqualTo(TIMINGS.outageLeaseMs());
     grantEnds(grant, OrderOutcome.DONE, 500);
-    desk.setOutage(false);
+    manager.setOutage(false);
     moveFirstKeysToB();
     long endsMs = 500 + TIMINGS.boundMs(TIMINGS.outageLeaseMs());
     assertThat(grantsTo(B, due(endsMs - 1))).isEmpty();
@@ -238,11 +238,11 @@
   @Test
   void theHolderBeforeMayTellThatNothingIsLeft() {
     LeaseManager next = new LeaseManager(SERVICE, TIMINGS, () -> 1_000 + ++tokens);
-    next.takeOver(desk.table(0), 0, 20_000);
+    next.takeOver(manager.table(0), 0, 20_000);
     next.move(FIRST_KEYS, B, 1_000);
     next.onWritten(next.version());
     assertThat(grantsTo(B, next.due(1_000, target -> true))).isEmpty();
-    next.limitForeignLeases(desk.leasesLeft(1_000), 1_000);
+    next.limitForeignLeases(manager.leasesLeft(1_000), 1_000);
     long endsMs = TIMINGS.boundMs(TIMINGS.leaseMs());
     assertThat(grantsTo(B, next.due(endsMs - 1, target -> true))).isEmpty();
     assertThat(grantsTo(B, next.due(endsMs, target -> true))).hasSize(1);
@@ -250,23 +250,23 @@
 
   @Test
   void theTargetWithEnoughToDoIsAskedLater() {
-    assertThat(desk.due(1_000, target -> target.equals(B))).hasSize(1);
+    assertThat(manager.due(1_000, target -> target.equals(B))).hasSize(1);
     assertThat(grantsTo(A, due(1_000))).hasSize(1);
   }
 
   private LeaseOrder.Release moveFirstKeysToB() {
-    desk.move(FIRST_KEYS, B, 100);
-    desk.onWritten(desk.version());
+    manager.move(FIRST_KEYS, B, 100);
+    manager.onWritten(manager.version());
     return (LeaseOrder.Release)
         due(100).stream().filter(LeaseOrder.Release.class::isInstance).findFirst().orElseThrow();
   }
 
   private List<LeaseOrder> due(long nowMs) {
-    return desk.due(nowMs, target -> true);
+    return manager.due(nowMs, target -> true);
   }
 
   private void grantEnds(LeaseOrder order, OrderOutcome outcome, long nowMs) {
-    desk.onGrantEnded((LeaseOrder.Grant) order, outcome, nowMs, nowMs);
+    manager.onGrantEnded((LeaseOrder.Grant) order, outcome, nowMs, nowMs);
   }
 
   private static List<LeaseOrder> grantsTo(TargetId target, List<LeaseOrder> orders) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
@@ -38,9 +38,9 @@
   /** No name tells two runs apart that have the same one; then the token still does. */
   @Test
   void renewalsThatReachTheNextRunHaveTokensAboveThoseOfTheRunBefore() {
-    LeaseInvariants promises = restart(SERVICE, false);
-    assertThat(promises.ownedAtMost()).isEqualTo(SimulatedTarget.SAMPLES);
-    assertThat(promises.violations())
+    LeaseInvariants invariants = restart(SERVICE, false);
+    assertThat(invariants.maxOwnedKeys()).isEqualTo(SimulatedTarget.SAMPLES);
+    assertThat(invariants.violations())
         .doesNotContainKey(Violation.TOKEN_NOT_ABOVE_THAT_OF_ANOTHER_RUN);
   }
 
@@ -48,21 +48,21 @@
   void targetsThatStartAgainUnderTheirNameGetTheirKeysAgain() {
     VirtualTime time = new VirtualTime(1);
     SimulatedFleet fleet = new SimulatedFleet(time, ended -> {}, true);
-    LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
-    SimulatedNetwork network = new SimulatedNetwork(time, fleet, promises, true);
+    LeaseInvariants invariants = new LeaseInvariants(SimulatedFleet.SERVICES);
+    SimulatedNetwork network = new SimulatedNetwork(time, fleet, invariants, true);
     SimulatedTermHolder holder =
         new SimulatedTermHolder(1, time, fleet, network, new SimulatedStore(), true);
-    pass(3_000, time, holder, fleet, promises);
-    SimulatedTarget owner = fleet.living().get(0);
+    pass(3_000, time, holder, fleet, invariants);
+    SimulatedTarget owner = fleet.running().get(0);
     int sample = anyHeldBy(owner, time);
     owner.end(time.nowMs());
-    SimulatedTarget next = fleet.startAgain(owner, 0);
+    SimulatedTarget next = fleet.restartUnderSameName(owner, 0);
     long waitedMs = 0;
-    while (waitedMs < LISTED_FOR_MS && fleet.living().stream().noneMatch(holds(sample, time))) {
-      pass(STEP_MS, time, holder, fleet, promises);
+    while (waitedMs < LISTED_FOR_MS && fleet.running().stream().noneMatch(holds(sample, time))) {
+      pass(STEP_MS, time, holder, fleet, invariants);
       waitedMs += STEP_MS;
     }
-    assertThat(promises.violations()).isEmpty();
+    assertThat(invariants.violations()).isEmpty();
     assertThat(next.isEnded()).isFalse();
     assertThat(waitedMs).isAtMost(WITHIN_MS);
   }
@@ -95,24 +95,24 @@
   }
 
   /** An owner ends, another run has its address at once; the holder learns it from nobody. */
-  private static LeaseInvariants restart(ServiceId nextService, boolean targetsAreNamed) {
+  private static LeaseInvariants restart(ServiceId nextService, boolean ordersNameTarget) {
     VirtualTime time = new VirtualTime(1);
     SimulatedFleet fleet = new SimulatedFleet(time, ended -> {});
-    LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
-    SimulatedNetwork network = new SimulatedNetwork(time, fleet, promises, targetsAreNamed);
+    LeaseInvariants invariants = new LeaseInvariants(SimulatedFleet.SERVICES);
+    SimulatedNetwork network = new SimulatedNetwork(time, fleet, invariants, ordersNameTarget);
     SimulatedTermHolder holder =
         new SimulatedTermHolder(1, time, fleet, network, new SimulatedStore(), true);
-    pass(3_000, time, holder, fleet, promises);
+    pass(3_000, time, holder, fleet, invariants);
     SimulatedTarget owner =
-        fleet.living().stream().filter(run -> run.service().equals(SERVICE)).findFirst().get();
+        fleet.running().stream().filter(run -> run.service().equals(SERVICE)).findFirst().get();
     assertThat(
             IntStream.range(0, SimulatedTarget.SAMPLES).anyMatch(i -> owner.holds(i, time.nowMs())))
         .isTrue();
     SimulatedTarget next = fleet.replace(owner, nextService, LISTED_FOR_MS);
-    pass(2 * LISTED_FOR_MS, time, holder, fleet, promises);
+    pass(2 * LISTED_FOR_MS, time, holder, fleet, invariants);
     assertThat(next.isEnded()).isFalse();
-    assertThat(network.refusedGrants() > 0).isEqualTo(targetsAreNamed);
-    return promises;
+    assertThat(network.refusedGrants() > 0).isEqualTo(ordersNameTarget);
+    return invariants;
   }
 
   private static void pass(
@@ -120,12 +120,12 @@
       VirtualTime time,
       SimulatedTermHolder holder,
       SimulatedFleet fleet,
-      LeaseInvariants promises) {
+      LeaseInvariants invariants) {
     long endMs = time.nowMs() + durationMs;
     while (time.nowMs() < endMs) {
-      time.pass(STEP_MS);
+      time.advance(STEP_MS);
       holder.step();
-      promises.check(fleet.living(), time.nowMs());
+      invariants.check(fleet.running(), time.nowMs());
     }
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleSweepTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleSweepTest.java
@@ -33,13 +33,13 @@
 
   @Test
   void noKeyHasTwoOwnersInAnySchedule() throws ExecutionException, InterruptedException {
-    sweep(seed -> violationsIn(worldOf(seed), seed));
+    sweep(seed -> violationsIn(simulationFor(seed), seed));
   }
 
   /** The same seeds; the news of each end is told again, and so the schedules are others. */
   @Test
   void noKeyHasTwoOwnersThoughNewsIsToldAgain() throws ExecutionException, InterruptedException {
-    sweep(seed -> violationsIn(worldOf(seed).withNewsToldAgain(), seed));
+    sweep(seed -> violationsIn(simulationFor(seed).withRepeatedNotices(), seed));
   }
 
   private static void sweep(LongFunction<Optional<String>> violationsOf)
@@ -64,21 +64,21 @@
     }
   }
 
-  private static LeaseSimulation worldOf(long seed) {
+  private static LeaseSimulation simulationFor(long seed) {
     int combination = (int) Math.floorMod(seed, (long) COMBINATIONS);
-    LeaseSimulation world = new LeaseSimulation(seed, true, (combination & 1) != 0);
+    LeaseSimulation simulation = new LeaseSimulation(seed, true, (combination & 1) != 0);
     if ((combination & 2) != 0) {
-      world = world.withOlderStores(true);
+      simulation = simulation.withStoreRollbacks(true);
     }
     if ((combination & 4) != 0) {
-      world = world.withClockFaults();
+      simulation = simulation.withClockFaults();
     }
-    return world;
+    return simulation;
   }
 
-  private static Optional<String> violationsIn(LeaseSimulation world, long seed) {
-    world.run(DURATION_MS);
-    Map<LeaseInvariants.Violation, String> violations = world.promises().violations();
+  private static Optional<String> violationsIn(LeaseSimulation simulation, long seed) {
+    simulation.run(DURATION_MS);
+    Map<LeaseInvariants.Violation, String> violations = simulation.invariants().violations();
     return violations.isEmpty()
         ? Optional.empty()
         : Optional.of("seed " + seed + ": " + violations);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
@@ -4,7 +4,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 import io.cuminvalve.core.lease.LeaseInvariants.Violation;
-import io.cuminvalve.core.lease.LeaseSimulation.Trouble;
+import io.cuminvalve.core.lease.LeaseSimulation.InjectedFault;
 import java.util.EnumSet;
 import java.util.HashSet;
 import java.util.List;
@@ -27,10 +27,10 @@
 
   @Property(tries = 150, seed = "7")
   void noKeyHasTwoOwners(@ForAll long seed) {
-    LeaseSimulation world = new LeaseSimulation(seed, true);
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
-    assertThat(world.promises().ownedAtMost()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
+    LeaseSimulation simulation = new LeaseSimulation(seed, true);
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
+    assertThat(simulation.invariants().maxOwnedKeys()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
   }
 
   /**
@@ -44,9 +44,9 @@
    */
   @Example
   void keysOfEndedTargetsOpenAlthoughHoldersChangeOften() {
-    LeaseSimulation world = new LeaseSimulation(-8_500_642_725_582_650_421L, true);
-    world.run(DURATION_MS);
-    assertThat(world.promises().ownedAtMost()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
+    LeaseSimulation simulation = new LeaseSimulation(-8_500_642_725_582_650_421L, true);
+    simulation.run(DURATION_MS);
+    assertThat(simulation.invariants().maxOwnedKeys()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
   }
 
   /**
@@ -55,10 +55,10 @@
    */
   @Property(tries = 150, seed = "11")
   void noKeyHasTwoOwnersThoughNamesAreUsedAgain(@ForAll long seed) {
-    LeaseSimulation world = new LeaseSimulation(seed, true, true);
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
-    assertThat(world.promises().ownedAtMost()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
+    LeaseSimulation simulation = new LeaseSimulation(seed, true, true);
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
+    assertThat(simulation.invariants().maxOwnedKeys()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
   }
 
   /**
@@ -71,36 +71,36 @@
    */
   @Example
   void grantsUnderWayToAnEndedTargetMayReachTheNextRunOfItsName() {
-    LeaseSimulation world = new LeaseSimulation(1097, true, true);
-    world.run(DURATION_MS);
-    assertThat(world.promises().violations()).isEmpty();
+    LeaseSimulation simulation = new LeaseSimulation(1097, true, true);
+    simulation.run(DURATION_MS);
+    assertThat(simulation.invariants().violations()).isEmpty();
   }
 
   /** Clocks of holders jump, and holders sleep and wake up as if nothing had happened. */
   @Property(tries = 150, seed = "17")
   void noKeyHasTwoOwnersThoughClocksAreSetAndHostsSuspended(@ForAll long seed) {
-    LeaseSimulation world = new LeaseSimulation(seed, true).withClockFaults();
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
-    assertThat(world.suspensions()).isGreaterThan(0);
-    assertThat(world.clockSteps()).isGreaterThan(0);
+    LeaseSimulation simulation = new LeaseSimulation(seed, true).withClockFaults();
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
+    assertThat(simulation.suspensions()).isGreaterThan(0);
+    assertThat(simulation.clockSteps()).isGreaterThan(0);
   }
 
   /** All of it at once: names that are used again, older stores, clocks, suspended hosts. */
   @Property(tries = 150, seed = "19")
   void noKeyHasTwoOwnersWhateverComesTogether(@ForAll long seed) {
-    LeaseSimulation world =
-        new LeaseSimulation(seed, true, true).withOlderStores(true).withClockFaults();
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
+    LeaseSimulation simulation =
+        new LeaseSimulation(seed, true, true).withStoreRollbacks(true).withClockFaults();
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
   }
 
   /** Moves that were written are lost with the store, at times with the holder that made them. */
   @Property(tries = 150, seed = "13")
   void noKeyHasTwoOwnersThoughTheStoreComesBackOlder(@ForAll long seed) {
-    LeaseSimulation world = new LeaseSimulation(seed, true).withOlderStores(true);
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
+    LeaseSimulation simulation = new LeaseSimulation(seed, true).withStoreRollbacks(true);
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
   }
 
   /**
@@ -112,9 +112,9 @@
    */
   @Example
   void missingRecordsOfAnEarlierEpochProveNothingEither() {
-    LeaseSimulation world = new LeaseSimulation(-13, true).withOlderStores(true);
-    world.run(DURATION_MS);
-    assertThat(world.promises().violations()).isEmpty();
+    LeaseSimulation simulation = new LeaseSimulation(-13, true).withStoreRollbacks(true);
+    simulation.run(DURATION_MS);
+    assertThat(simulation.invariants().violations()).isEmpty();
   }
 
   /**
@@ -127,9 +127,9 @@
   @Example
   void replacedHoldersDoNotComeBackWithTheStore() {
     for (long seed : List.of(660260225259642700L, 755854500991624593L, -3462057721180242966L)) {
-      LeaseSimulation world = new LeaseSimulation(seed, true).withOlderStores(true);
-      world.run(DURATION_MS);
-      assertThat(world.promises().violations()).isEmpty();
+      LeaseSimulation simulation = new LeaseSimulation(seed, true).withStoreRollbacks(true);
+      simulation.run(DURATION_MS);
+      assertThat(simulation.invariants().violations()).isEmpty();
     }
   }
 
@@ -138,10 +138,10 @@
    */
   @Example
   void holdersThatHaveNotWrittenReadAgain() {
-    LeaseSimulation world =
-        new LeaseSimulation(-3659396086863550127L, true, true).withOlderStores(true);
-    world.run(DURATION_MS);
-    assertThat(world.promises().violations()).isEmpty();
+    LeaseSimulation simulation =
+        new LeaseSimulation(-3659396086863550127L, true, true).withStoreRollbacks(true);
+    simulation.run(DURATION_MS);
+    assertThat(simulation.invariants().violations()).isEmpty();
   }
 
   /** The same check bites: whoever takes the older record for the newest breaks the promise. */
@@ -150,10 +150,10 @@
     int broken = 0;
     int lostRecords = 0;
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
-      LeaseSimulation world = new LeaseSimulation(seed, true).withOlderStores(false);
-      world.run(DURATION_MS);
-      broken += world.promises().violations().isEmpty() ? 0 : 1;
-      lostRecords += world.lostRecords();
+      LeaseSimulation simulation = new LeaseSimulation(seed, true).withStoreRollbacks(false);
+      simulation.run(DURATION_MS);
+      broken += simulation.invariants().violations().isEmpty() ? 0 : 1;
+      lostRecords += simulation.lostRecords();
     }
     assertThat(lostRecords).isGreaterThan(0);
     assertThat(broken).isGreaterThan(0);
@@ -169,12 +169,12 @@
     Set<Violation> seen = EnumSet.noneOf(Violation.class);
     Set<Long> harmless = new HashSet<>();
     for (long seed = 0; seed < UNNAMED_SEEDS; seed++) {
-      LeaseSimulation world = new LeaseSimulation(seed, false);
-      world.run(DURATION_MS);
-      if (world.promises().violations().isEmpty()) {
+      LeaseSimulation simulation = new LeaseSimulation(seed, false);
+      simulation.run(DURATION_MS);
+      if (simulation.invariants().violations().isEmpty()) {
         harmless.add(seed);
       }
-      seen.addAll(world.promises().violations().keySet());
+      seen.addAll(simulation.invariants().violations().keySet());
     }
     assertThat(harmless).containsExactly(4L);
     assertThat(seen).containsExactlyElementsIn(Violation.values());
@@ -184,10 +184,10 @@
   @Example
   void newsIsToldAgainAndNamesComeBackAfterOthers() {
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
-      LeaseSimulation world = new LeaseSimulation(seed, true, true).withNewsToldAgain();
-      world.run(DURATION_MS);
-      assertThat(world.newsToldAgain()).isGreaterThan(0);
-      assertThat(world.returns()).isGreaterThan(0);
+      LeaseSimulation simulation = new LeaseSimulation(seed, true, true).withRepeatedNotices();
+      simulation.run(DURATION_MS);
+      assertThat(simulation.repeatedNotices()).isGreaterThan(0);
+      assertThat(simulation.nameReturns()).isGreaterThan(0);
     }
   }
 
@@ -197,16 +197,16 @@
    */
   @Example
   void everyTroubleComesUpAndOrdersReachOtherRuns() {
-    Set<Trouble> seen = EnumSet.noneOf(Trouble.class);
+    Set<InjectedFault> seen = EnumSet.noneOf(InjectedFault.class);
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
-      LeaseSimulation world = new LeaseSimulation(seed, true);
-      world.run(DURATION_MS);
-      assertThat(world.network().refusedGrants()).isGreaterThan(0);
+      LeaseSimulation simulation = new LeaseSimulation(seed, true);
+      simulation.run(DURATION_MS);
+      assertThat(simulation.network().refusedGrants()).isGreaterThan(0);
       if (seed != SEED_WITHOUT_RELEASES) {
-        assertThat(world.network().refusedReleases()).isGreaterThan(0);
+        assertThat(simulation.network().refusedReleases()).isGreaterThan(0);
       }
-      seen.addAll(world.troubles());
+      seen.addAll(simulation.injectedFaults());
     }
-    assertThat(seen).containsExactlyElementsIn(Trouble.values());
+    assertThat(seen).containsExactlyElementsIn(InjectedFault.values());
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseSimulation.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseSimulation.java
@@ -15,7 +15,7 @@
 final class LeaseSimulation {
 
   /** What goes wrong around the end of a run. */
-  enum Trouble {
+  enum InjectedFault {
     ONE_RESTARTS,
     MANY_RESTART,
     RESTART_AS_THE_HOLDER_IS_REPLACED,
@@ -33,39 +33,39 @@
   private static final long LONGEST_SLEEP_MS = 25_000;
 
   private final VirtualTime time;
-  private final boolean namesAreUsedAgain;
+  private final boolean reusesNames;
   private final SimulatedFleet fleet;
   private final SimulatedNetwork network;
   private final SimulatedStore store = new SimulatedStore();
-  private final LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
+  private final LeaseInvariants invariants = new LeaseInvariants(SimulatedFleet.SERVICES);
   private final List<SimulatedTermHolder> holders = new ArrayList<>();
-  private final Set<Trouble> troubles = EnumSet.noneOf(Trouble.class);
-  private boolean olderStores;
+  private final Set<InjectedFault> injectedFaults = EnumSet.noneOf(InjectedFault.class);
+  private boolean storeRollbacks;
   private boolean clockFaults;
-  private boolean newsComesAgain;
-  private int newsToldAgain;
+  private boolean repeatsNotices;
+  private int repeatedNotices;
   private int suspensions;
   private int clockSteps;
-  private boolean waitsForLostMoves = true;
+  private boolean waitsForLostWrites = true;
   private int lostRecords;
 
-  /** Creates a world in which orders name their targets, or give nothing but an address. */
-  LeaseSimulation(long seed, boolean targetsAreNamed) {
-    this(seed, targetsAreNamed, false);
+  /** Creates a simulation in which orders name their targets, or give nothing but an address. */
+  LeaseSimulation(long seed, boolean ordersNameTarget) {
+    this(seed, ordersNameTarget, false);
   }
 
   /** The same; targets may start again under the names that they had. */
-  LeaseSimulation(long seed, boolean targetsAreNamed, boolean namesAreUsedAgain) {
+  LeaseSimulation(long seed, boolean ordersNameTarget, boolean reusesNames) {
     time = new VirtualTime(seed);
-    this.namesAreUsedAgain = namesAreUsedAgain;
-    fleet = new SimulatedFleet(time, this::tellReplaced, namesAreUsedAgain);
-    network = new SimulatedNetwork(time, fleet, promises, targetsAreNamed);
+    this.reusesNames = reusesNames;
+    fleet = new SimulatedFleet(time, this::notifyHolders, reusesNames);
+    network = new SimulatedNetwork(time, fleet, invariants, ordersNameTarget);
   }
 
   /** From now on the store comes back older at times, also as the holder is lost. */
-  LeaseSimulation withOlderStores(boolean holdersWait) {
-    olderStores = true;
-    waitsForLostMoves = holdersWait;
+  LeaseSimulation withStoreRollbacks(boolean holdersWait) {
+    storeRollbacks = true;
+    waitsForLostWrites = holdersWait;
     return this;
   }
 
@@ -79,20 +79,20 @@
    * From now on the news that a run has ended comes again and again. Where names are used again,
    * runs of other names have the address of one until the next run of its name starts there.
    */
-  LeaseSimulation withNewsToldAgain() {
-    newsComesAgain = true;
-    fleet.letOthersComeBetween();
+  LeaseSimulation withRepeatedNotices() {
+    repeatsNotices = true;
+    fleet.allowInterleavedNames();
     return this;
   }
 
   /** Returns how often news that had been told, or was to be told, was told once more. */
-  int newsToldAgain() {
-    return newsToldAgain;
+  int repeatedNotices() {
+    return repeatedNotices;
   }
 
   /** Returns how often a run started again after one of another name had had its address. */
-  int returns() {
-    return fleet.returns();
+  int nameReturns() {
+    return fleet.nameReturns();
   }
 
   /** Returns how often a holder's host was suspended. */
@@ -115,19 +115,19 @@
     long endMs = time.nowMs() + durationMs;
     addHolder();
     while (time.nowMs() < endMs) {
-      time.pass(STEP_MS);
-      disturb();
+      time.advance(STEP_MS);
+      injectFaults();
       holders.forEach(SimulatedTermHolder::step);
-      promises.check(fleet.living(), time.nowMs());
+      invariants.check(fleet.running(), time.nowMs());
     }
   }
 
-  LeaseInvariants promises() {
-    return promises;
+  LeaseInvariants invariants() {
+    return invariants;
   }
 
-  Set<Trouble> troubles() {
-    return troubles;
+  Set<InjectedFault> injectedFaults() {
+    return injectedFaults;
   }
 
   SimulatedNetwork network() {
@@ -136,34 +136,35 @@
 
   private SimulatedTermHolder addHolder() {
     SimulatedTermHolder holder =
-        new SimulatedTermHolder(holders.size() + 1, time, fleet, network, store, waitsForLostMoves);
+        new SimulatedTermHolder(
+            holders.size() + 1, time, fleet, network, store, waitsForLostWrites);
     if (clockFaults) {
-      holder.goOnWhenStale();
+      holder.keepRunningWhenStale();
     }
     holders.add(holder);
     return holder;
   }
 
   /** Each holder learns that another run answers in place of one: soon, late, or never. */
-  private void tellReplaced(SimulatedTarget ended) {
+  private void notifyHolders(SimulatedTarget ended) {
     for (SimulatedTermHolder holder : holders) {
-      int luck = time.draw(3);
-      if (luck > 0) {
-        long delayMs = luck == 1 ? time.between(1, 300) : time.between(1_000, 8_000);
-        time.later(delayMs, () -> holder.onGone(ended.id()));
+      int choice = time.nextInt(3);
+      if (choice > 0) {
+        long delayMs = choice == 1 ? time.nextMs(1, 300) : time.nextMs(1_000, 8_000);
+        time.schedule(delayMs, () -> holder.onGone(ended.id()));
       }
-      for (int i = 0; newsComesAgain && i < 3; i++) {
-        tellAgain(holder, ended);
+      for (int i = 0; repeatsNotices && i < 3; i++) {
+        repeatNotice(holder, ended);
       }
     }
   }
 
-  private void tellAgain(SimulatedTermHolder holder, SimulatedTarget ended) {
-    boolean listed = time.draw(3) > 0;
-    time.later(
-        time.between(1, 6_000),
+  private void repeatNotice(SimulatedTermHolder holder, SimulatedTarget ended) {
+    boolean listed = time.nextInt(3) > 0;
+    time.schedule(
+        time.nextMs(1, 6_000),
         () -> {
-          newsToldAgain++;
+          repeatedNotices++;
           if (listed) {
             holder.onOtherTarget(ended.id());
           } else {
@@ -172,91 +173,91 @@
         });
   }
 
-  private void disturb() {
+  private void injectFaults() {
     boolean gaveUp = holders.get(holders.size() - 1).isStopped();
-    if (time.onceIn(gaveUp ? 20 : 400)) {
+    if (time.oneIn(gaveUp ? 20 : 400)) {
       takeOver();
     }
-    if (clockFaults && time.onceIn(60)) {
-      disturbClock();
+    if (clockFaults && time.oneIn(60)) {
+      injectClockFault();
     }
-    if (olderStores && time.onceIn(250)) {
-      comeBackOlder();
+    if (storeRollbacks && time.oneIn(250)) {
+      rollBackStore();
     }
-    if (time.onceIn(200)) {
-      Trouble trouble = Trouble.values()[time.draw(Trouble.values().length)];
-      troubles.add(trouble);
-      fleet.anyLiving().ifPresent(run -> cause(trouble, run));
+    if (time.oneIn(200)) {
+      InjectedFault trouble = InjectedFault.values()[time.nextInt(InjectedFault.values().length)];
+      injectedFaults.add(trouble);
+      fleet.anyRunning().ifPresent(run -> cause(trouble, run));
     }
   }
 
   /** Mostly that of the last holder, or of the one before, which may not know of the last. */
-  private void disturbClock() {
-    int back = Math.min(holders.size() - 1, time.draw(2));
+  private void injectClockFault() {
+    int back = Math.min(holders.size() - 1, time.nextInt(2));
     HostClock clock = holders.get(holders.size() - 1 - back).clock();
-    boolean both = time.onceIn(4);
-    if (both || time.onceIn(3)) {
+    boolean both = time.oneIn(4);
+    if (both || time.oneIn(3)) {
       suspensions++;
-      clock.suspend(time.between(100, LONGEST_SLEEP_MS));
+      clock.suspend(time.nextMs(100, LONGEST_SLEEP_MS));
     } else {
       clockSteps++;
       setTimeOfDay(clock);
     }
     if (both) {
       clockSteps++;
-      clock.setTimeOfDay(time.between(100, 9_000));
+      clock.setTimeOfDay(time.nextMs(100, 9_000));
     }
   }
 
   /** A step ahead or back, which a time service takes back soon, or not at all. */
   private void setTimeOfDay(HostClock clock) {
-    long byMs = time.between(100, 9_000) * (time.onceIn(3) ? -1 : 1);
+    long byMs = time.nextMs(100, 9_000) * (time.oneIn(3) ? -1 : 1);
     clock.setTimeOfDay(byMs);
-    if (time.onceIn(2)) {
-      time.later(time.between(50, 2_000), () -> clock.setTimeOfDay(-byMs));
+    if (time.oneIn(2)) {
+      time.schedule(time.nextMs(50, 2_000), () -> clock.setTimeOfDay(-byMs));
     }
   }
 
   /** The holder hears of it within half a second, unless it is lost at that moment. */
-  private void comeBackOlder() {
-    int writes = time.draw(12);
+  private void rollBackStore() {
+    int writes = time.nextInt(12);
     lostRecords += writes > 0 ? 1 : 0;
-    store.comeBackWithout(writes);
+    store.rollBack(writes);
     SimulatedTermHolder last = holders.get(holders.size() - 1);
-    if (time.onceIn(3)) {
-      time.later(time.between(0, 1_500), this::takeOver);
+    if (time.oneIn(3)) {
+      time.schedule(time.nextMs(0, 1_500), this::takeOver);
     } else {
-      time.later(time.between(0, 500), () -> last.onStoreCameBack(this::addHolder));
+      time.schedule(time.nextMs(0, 500), () -> last.onStoreRolledBack(this::addHolder));
     }
   }
 
-  private void cause(Trouble trouble, SimulatedTarget run) {
+  private void cause(InjectedFault trouble, SimulatedTarget run) {
     switch (trouble) {
       case ONE_RESTARTS -> {
         fleet.restart(run);
         // Nobody but a run of another name tells that this one has ended.
-        if (!namesAreUsedAgain && time.onceIn(2)) {
+        if (!reusesNames && time.oneIn(2)) {
           holders.forEach(holder -> holder.onGone(run.id()));
         }
       }
       case MANY_RESTART -> {
-        for (SimulatedTarget one : fleet.living()) {
-          if (time.draw(3) > 0) {
-            time.later(time.between(0, 1_000), () -> fleet.restart(one));
+        for (SimulatedTarget one : fleet.running()) {
+          if (time.nextInt(3) > 0) {
+            time.schedule(time.nextMs(0, 1_000), () -> fleet.restart(one));
           }
         }
       }
       case RESTART_AS_THE_HOLDER_IS_REPLACED -> {
-        time.later(time.between(0, 1_000), () -> fleet.restart(run));
-        time.later(time.between(0, 1_000), this::takeOver);
+        time.schedule(time.nextMs(0, 1_000), () -> fleet.restart(run));
+        time.schedule(time.nextMs(0, 1_000), this::takeOver);
       }
       case RESTART_DURING_A_RELEASE -> {
         holders.get(holders.size() - 1).moveFrom(run);
-        time.later(time.between(0, 250), () -> fleet.restart(run));
+        time.schedule(time.nextMs(0, 250), () -> fleet.restart(run));
       }
       case RESTART_WITH_ANSWERS_LOST -> {
-        fleet.loseAnswers(run.address(), time.between(1_000, 4_000));
-        time.later(time.between(0, 2_000), () -> fleet.restart(run));
+        fleet.loseAnswers(run.address(), time.nextMs(1_000, 4_000));
+        time.schedule(time.nextMs(0, 2_000), () -> fleet.restart(run));
       }
       default -> throw new IllegalStateException(trouble.toString());
     }
@@ -264,11 +265,11 @@
 
   private void takeOver() {
     SimulatedTermHolder last = holders.get(holders.size() - 1);
-    last.cutOff(time.onceIn(2));
+    last.loseTerm(time.oneIn(2));
     SimulatedTermHolder next = addHolder();
-    next.cutFromOneTarget(clockFaults ? LONG_CUT_MS : CUT_MS);
-    if (time.onceIn(3)) {
-      time.later(time.between(0, 3_000), () -> next.askPredecessor(last));
+    next.blockPathToAnyTarget(clockFaults ? LONG_CUT_MS : CUT_MS);
+    if (time.oneIn(3)) {
+      time.schedule(time.nextMs(0, 3_000), () -> next.askPredecessor(last));
     }
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseTerminationNoticeTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseTerminationNoticeTest.java
@@ -25,19 +25,19 @@
   private static final TargetId OTHER = new TargetId("b");
   private static final LeaseTimings TIMINGS = SimulatedTermHolder.TIMINGS;
 
-  private final LeaseInvariants promises = new LeaseInvariants(SimulatedFleet.SERVICES);
+  private final LeaseInvariants invariants = new LeaseInvariants(SimulatedFleet.SERVICES);
   private final SimulatedTarget owner = new SimulatedTarget(OWNER, SERVICE, ADDRESS, 1, 0);
   private final SimulatedTarget other = new SimulatedTarget(OTHER, SERVICE, "10.0.0.2", 1, 0);
   private final SimulatedTarget next =
       new SimulatedTarget(TargetId.ofRun("a", 2), SERVICE, ADDRESS, 1, 2_000);
   private long tokens;
-  private final LeaseManager desk = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
+  private final LeaseManager manager = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
 
   /** All keys are the owner's; then it ends, and the next run of its name starts. */
   @BeforeEach
   void grantAllToTheOwner() {
-    desk.partition(List.of(listed(owner)));
-    desk.onWritten(desk.version());
+    manager.partition(List.of(listed(owner)));
+    manager.onWritten(manager.version());
     answer(grantDue(0), owner, 0);
     assertThat(owner.holds(0, 0)).isTrue();
     owner.end(0);
@@ -46,17 +46,17 @@
   @Test
   void grantsUnderWayCountThoughTheNewsIsToldAgain() {
     LeaseOrder.Grant renewal = grantDue(1_000);
-    desk.onGone(OWNER);
+    manager.onGone(OWNER);
     answer(renewal, next, 1_010);
-    desk.onGone(OWNER);
+    manager.onGone(OWNER);
     moveAllToTheOther(1_020);
   }
 
   @Test
   void grantsSentAfterTheNewsCountThoughItIsToldAgain() {
-    desk.onGone(OWNER);
+    manager.onGone(OWNER);
     answer(grantDue(1_000), next, 1_010);
-    desk.onGone(OWNER);
+    manager.onGone(OWNER);
     moveAllToTheOther(1_020);
   }
 
@@ -64,10 +64,10 @@
   @Test
   void grantsWithoutAnswerCountThoughTheNewsIsToldAgain() {
     LeaseOrder.Grant renewal = grantDue(1_000);
-    desk.onGone(OWNER);
+    manager.onGone(OWNER);
     carryOut(renewal, next, 1_010);
-    desk.onGrantEnded(renewal, OrderOutcome.UNANSWERED, 1_000, 1_700);
-    desk.onGone(OWNER);
+    manager.onGrantEnded(renewal, OrderOutcome.UNANSWERED, 1_000, 1_700);
+    manager.onGone(OWNER);
     moveAllToTheOther(1_720);
   }
 
@@ -75,13 +75,13 @@
   @Test
   void earlierGrantsCountThoughTheOneUnderWayAtTheMoveIsNotCarriedOut() {
     LeaseOrder.Grant missed = grantDue(1_000);
-    desk.onGrantEnded(missed, OrderOutcome.NOT_SENT, 1_000, 1_010);
+    manager.onGrantEnded(missed, OrderOutcome.NOT_SENT, 1_000, 1_010);
     answer(grantDue(1_300), next, 1_310);
     LeaseOrder.Grant renewal = grantDue(2_400);
-    desk.move(KeyRange.ALL, OTHER, 2_410);
-    desk.onWritten(desk.version());
-    desk.onGone(OWNER);
-    desk.onGrantEnded(renewal, OrderOutcome.NOT_SENT, 2_400, 2_420);
+    manager.move(KeyRange.ALL, OTHER, 2_410);
+    manager.onWritten(manager.version());
+    manager.onGone(OWNER);
+    manager.onGrantEnded(renewal, OrderOutcome.NOT_SENT, 2_400, 2_420);
     checkKeysAt(2_420);
   }
 
@@ -89,14 +89,14 @@
   @Test
   void earlierGrantsCountThoughTheNewsComesAfterTheAnswer() {
     LeaseOrder.Grant missed = grantDue(1_000);
-    desk.onGrantEnded(missed, OrderOutcome.NOT_SENT, 1_000, 1_010);
+    manager.onGrantEnded(missed, OrderOutcome.NOT_SENT, 1_000, 1_010);
     answer(grantDue(1_300), next, 1_310);
     LeaseOrder.Grant renewal = grantDue(2_400);
-    desk.move(KeyRange.ALL, OTHER, 2_410);
-    desk.onWritten(desk.version());
-    desk.onGrantEnded(renewal, OrderOutcome.NOT_SENT, 2_400, 2_420);
-    desk.onGone(OWNER);
-    desk.onGone(OWNER);
+    manager.move(KeyRange.ALL, OTHER, 2_410);
+    manager.onWritten(manager.version());
+    manager.onGrantEnded(renewal, OrderOutcome.NOT_SENT, 2_400, 2_420);
+    manager.onGone(OWNER);
+    manager.onGone(OWNER);
     checkKeysAt(2_430);
   }
 
@@ -108,14 +108,14 @@
    */
   @Test
   void lateNewsSparesGrantsThatTheNextRunTookUnnoticed() {
-    LeaseSimulation world = new LeaseSimulation(1289, true, true).withNewsToldAgain();
-    world.run(60_000);
-    assertThat(world.promises().violations()).isEmpty();
+    LeaseSimulation simulation = new LeaseSimulation(1289, true, true).withRepeatedNotices();
+    simulation.run(60_000);
+    assertThat(simulation.invariants().violations()).isEmpty();
   }
 
   private void moveAllToTheOther(long nowMs) {
-    desk.move(KeyRange.ALL, OTHER, nowMs);
-    desk.onWritten(desk.version());
+    manager.move(KeyRange.ALL, OTHER, nowMs);
+    manager.onWritten(manager.version());
     checkKeysAt(nowMs);
   }
 
@@ -124,31 +124,31 @@
     assertThat(next.holds(0, fromMs)).isTrue();
     long endMs = fromMs + TIMINGS.boundMs(TIMINGS.leaseMs());
     for (long nowMs = fromMs; nowMs <= endMs; nowMs += 25) {
-      for (LeaseOrder order : desk.due(nowMs, target -> true)) {
+      for (LeaseOrder order : manager.due(nowMs, target -> true)) {
         if (order instanceof LeaseOrder.Release release) {
-          desk.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), nowMs);
+          manager.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), nowMs);
         } else {
           answer((LeaseOrder.Grant) order, other, nowMs);
         }
       }
-      promises.check(List.of(other, next), nowMs);
+      invariants.check(List.of(other, next), nowMs);
     }
-    assertWithMessage("violations").that(promises.violations()).isEmpty();
+    assertWithMessage("violations").that(invariants.violations()).isEmpty();
     assertThat(other.holds(0, endMs)).isTrue();
   }
 
   private LeaseOrder.Grant grantDue(long nowMs) {
-    return (LeaseOrder.Grant) desk.due(nowMs, target -> true).get(0);
+    return (LeaseOrder.Grant) manager.due(nowMs, target -> true).get(0);
   }
 
   private void answer(LeaseOrder.Grant grant, SimulatedTarget run, long nowMs) {
     carryOut(grant, run, nowMs);
-    desk.onGrantEnded(grant, OrderOutcome.DONE, nowMs, nowMs);
+    manager.onGrantEnded(grant, OrderOutcome.DONE, nowMs, nowMs);
   }
 
   private void carryOut(LeaseOrder.Grant grant, SimulatedTarget run, long nowMs) {
     assertThat(run.carryOut(grant, true, nowMs)).isEqualTo(OrderOutcome.DONE);
-    promises.onGranted(run, grant, nowMs);
+    invariants.onGranted(run, grant, nowMs);
   }
 
   private static FleetTarget listed(SimulatedTarget run) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedFleet.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedFleet.java
@@ -25,9 +25,9 @@
 
   private final VirtualTime time;
   private final Consumer<SimulatedTarget> onReplaced;
-  private final boolean namesAreUsedAgain;
-  private boolean othersComeBetween;
-  private int returns;
+  private final boolean reusesNames;
+  private boolean interleavesOtherNames;
+  private int nameReturns;
 
   /** Every run there ever was. */
   private final Map<TargetId, SimulatedTarget> runs = new LinkedHashMap<>();
@@ -43,11 +43,10 @@
   }
 
   /** The same; runs that start at the address of one of their service may have its name. */
-  SimulatedFleet(
-      VirtualTime time, Consumer<SimulatedTarget> onReplaced, boolean namesAreUsedAgain) {
+  SimulatedFleet(VirtualTime time, Consumer<SimulatedTarget> onReplaced, boolean reusesNames) {
     this.time = time;
     this.onReplaced = onReplaced;
-    this.namesAreUsedAgain = namesAreUsedAgain;
+    this.reusesNames = reusesNames;
     for (ServiceId service : SERVICES) {
       for (int i = 0; i < TARGETS; i++) {
         start(service, freshAddress(), 0);
@@ -56,18 +55,18 @@
   }
 
   /** Tells whether a run may have the name of one that ended, at the same address. */
-  boolean namesAreUsedAgain() {
-    return namesAreUsedAgain;
+  boolean reusesNames() {
+    return reusesNames;
   }
 
   /** From now on, where names are used again, runs of other names come between at times. */
-  void letOthersComeBetween() {
-    othersComeBetween = true;
+  void allowInterleavedNames() {
+    interleavesOtherNames = true;
   }
 
   /** Returns how often a run started again after one of another name had had its address. */
-  int returns() {
-    return returns;
+  int nameReturns() {
+    return nameReturns;
   }
 
   Collection<SimulatedTarget> runs() {
@@ -78,14 +77,16 @@
     return runs.get(id);
   }
 
-  List<SimulatedTarget> living() {
+  List<SimulatedTarget> running() {
     return runs.values().stream().filter(run -> !run.isEnded()).toList();
   }
 
   /** Returns one of those that have not ended; empty while all have. */
-  Optional<SimulatedTarget> anyLiving() {
-    List<SimulatedTarget> living = living();
-    return living.isEmpty() ? Optional.empty() : Optional.of(living.get(time.draw(living.size())));
+  Optional<SimulatedTarget> anyRunning() {
+    List<SimulatedTarget> running = running();
+    return running.isEmpty()
+        ? Optional.empty()
+        : Optional.of(running.get(time.nextInt(running.size())));
   }
 
   /** Returns the run that a connection to an address reaches now. */
@@ -113,47 +114,47 @@
     if (run.isEnded()) {
       return;
     }
-    run.end(time.nowMs() + (time.onceIn(2) ? time.between(0, 300) : time.between(2_000, 15_000)));
-    int fate = time.draw(10);
-    time.later(time.between(1, 2_000), () -> startNext(run, fate));
+    run.end(time.nowMs() + (time.oneIn(2) ? time.nextMs(0, 300) : time.nextMs(2_000, 15_000)));
+    int choice = time.nextInt(10);
+    time.schedule(time.nextMs(1, 2_000), () -> startNext(run, choice));
   }
 
-  private void startNext(SimulatedTarget ended, int fate) {
+  private void startNext(SimulatedTarget ended, int choice) {
     ServiceId service = ended.service();
     boolean isFree = runAt(ended.address()).isEmpty();
-    if (isFree && fate < 6 && othersComeBetween && namesAreUsedAgain && time.onceIn(2)) {
+    if (isFree && choice < 6 && interleavesOtherNames && reusesNames && time.oneIn(2)) {
       SimulatedTarget between = start(service, ended.address(), listingDelay());
-      time.later(time.between(1, 2_000), () -> startAfter(between, ended));
-    } else if (isFree && fate < 6 && namesAreUsedAgain && time.draw(4) > 0) {
-      startAgain(ended, listingDelay());
-    } else if (isFree && fate < 6) {
+      time.schedule(time.nextMs(1, 2_000), () -> restartAfterInterleaved(between, ended));
+    } else if (isFree && choice < 6 && reusesNames && time.nextInt(4) > 0) {
+      restartUnderSameName(ended, listingDelay());
+    } else if (isFree && choice < 6) {
       start(service, ended.address(), listingDelay());
-    } else if (isFree && fate < 8) {
+    } else if (isFree && choice < 8) {
       ServiceId other = SERVICES.get(1 - SERVICES.indexOf(service));
       if (count(other) < 2 * TARGETS) {
         start(other, ended.address(), listingDelay());
       }
     }
     while (count(service) < TARGETS) {
-      start(service, time.onceIn(2) ? freshAddress() : freeAddress(), listingDelay());
+      start(service, time.oneIn(2) ? freshAddress() : freeAddress(), listingDelay());
     }
   }
 
   /** The run that was there for a while ends, and one with the name of the run before it starts. */
-  private void startAfter(SimulatedTarget between, SimulatedTarget ended) {
+  private void restartAfterInterleaved(SimulatedTarget between, SimulatedTarget ended) {
     if (!between.isEnded()) {
-      between.end(time.nowMs() + time.between(0, 2_000));
-      returns++;
-      startAgain(ended, listingDelay());
+      between.end(time.nowMs() + time.nextMs(0, 2_000));
+      nameReturns++;
+      restartUnderSameName(ended, listingDelay());
     }
   }
 
   private long count(ServiceId service) {
-    return living().stream().filter(run -> run.service().equals(service)).count();
+    return running().stream().filter(run -> run.service().equals(service)).count();
   }
 
   private long listingDelay() {
-    return time.onceIn(4) ? time.between(2_000, 8_000) : time.between(0, 500);
+    return time.oneIn(4) ? time.nextMs(2_000, 8_000) : time.nextMs(0, 500);
   }
 
   private String freshAddress() {
@@ -163,7 +164,7 @@
   private String freeAddress() {
     List<String> free = new ArrayList<>(lastAt.keySet());
     free.removeIf(address -> runAt(address).isPresent());
-    return free.isEmpty() ? freshAddress() : free.get(time.draw(free.size()));
+    return free.isEmpty() ? freshAddress() : free.get(time.nextInt(free.size()));
   }
 
   private SimulatedTarget start(ServiceId service, String address, long listingDelayMs) {
@@ -177,7 +178,7 @@
   }
 
   /** The next run has the address and the name of one that ended; its entry replaces that one's. */
-  SimulatedTarget startAgain(SimulatedTarget ended, long listingDelayMs) {
+  SimulatedTarget restartUnderSameName(SimulatedTarget ended, long listingDelayMs) {
     TargetId id = TargetId.ofRun(ended.id().name(), time.nowMs() + 1);
     ended.end(Math.min(ended.listedUntilMs(), time.nowMs() + listingDelayMs));
     return begin(id, ended.service(), ended.address(), listingDelayMs);
@@ -185,7 +186,7 @@
 
   private SimulatedTarget begin(
       TargetId id, ServiceId service, String address, long listingDelayMs) {
-    double clockRate = time.onceIn(3) ? SLOWEST_CLOCK : 1 + time.share() * (SLOWEST_CLOCK - 1);
+    double clockRate = time.oneIn(3) ? SLOWEST_CLOCK : 1 + time.nextDouble() * (SLOWEST_CLOCK - 1);
     SimulatedTarget next =
         new SimulatedTarget(id, service, address, clockRate, time.nowMs() + listingDelayMs);
     runs.put(id, next);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedNetwork.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedNetwork.java
@@ -15,18 +15,21 @@
 
   private final VirtualTime time;
   private final SimulatedFleet fleet;
-  private final LeaseInvariants promises;
-  private final boolean targetsAreNamed;
+  private final LeaseInvariants invariants;
+  private final boolean ordersNameTarget;
   private int refusedGrants;
   private int refusedReleases;
 
   /** Creates the network; orders name their target, and runs look at it, or they do not. */
   SimulatedNetwork(
-      VirtualTime time, SimulatedFleet fleet, LeaseInvariants promises, boolean targetsAreNamed) {
+      VirtualTime time,
+      SimulatedFleet fleet,
+      LeaseInvariants invariants,
+      boolean ordersNameTarget) {
     this.time = time;
     this.fleet = fleet;
-    this.promises = promises;
-    this.targetsAreNamed = targetsAreNamed;
+    this.invariants = invariants;
+    this.ordersNameTarget = ordersNameTarget;
   }
 
   /** Returns how many grants a run refused because they name another one. */
@@ -40,49 +43,49 @@
   }
 
   void send(LeaseOrder order, String address, Consumer<OrderOutcome> onEnded) {
-    long wayMs = time.between(1, 60);
-    int luck = time.draw(100);
+    long latencyMs = time.nextMs(1, 60);
+    int choice = time.nextInt(100);
     Optional<SimulatedTarget> reached = fleet.runAt(address);
-    if (luck < 5 || reached.isEmpty()) {
-      time.later(wayMs, () -> onEnded.accept(OrderOutcome.NOT_SENT));
+    if (choice < 5 || reached.isEmpty()) {
+      time.schedule(latencyMs, () -> onEnded.accept(OrderOutcome.NOT_SENT));
       return;
     }
     SimulatedTarget run = reached.get();
-    boolean answerLost = fleet.losesAnswers(address) && time.draw(4) > 0;
-    if (luck < 10) {
+    boolean answerLost = fleet.losesAnswers(address) && time.nextInt(4) > 0;
+    if (choice < 10) {
       loseAnswer(onEnded);
-    } else if (luck < 20) {
-      long arrivedMs = time.nowMs() + wayMs;
-      time.later(time.between(2_000, 12_000), () -> carryOut(order, run, arrivedMs));
+    } else if (choice < 20) {
+      long arrivedMs = time.nowMs() + latencyMs;
+      time.schedule(time.nextMs(2_000, 12_000), () -> carryOut(order, run, arrivedMs));
       loseAnswer(onEnded);
     } else if (answerLost) {
-      time.later(wayMs, () -> carryOut(order, run, time.nowMs()));
+      time.schedule(latencyMs, () -> carryOut(order, run, time.nowMs()));
       loseAnswer(onEnded);
     } else {
-      time.later(wayMs, () -> deliver(order, run, onEnded));
+      time.schedule(latencyMs, () -> deliver(order, run, onEnded));
     }
   }
 
   private void loseAnswer(Consumer<OrderOutcome> onEnded) {
-    time.later(TIMEOUT_MS, () -> onEnded.accept(OrderOutcome.UNANSWERED));
+    time.schedule(TIMEOUT_MS, () -> onEnded.accept(OrderOutcome.UNANSWERED));
   }
 
   private void deliver(LeaseOrder order, SimulatedTarget run, Consumer<OrderOutcome> onEnded) {
     OrderOutcome outcome = carryOut(order, run, time.nowMs());
-    time.later(time.between(1, 60), () -> onEnded.accept(outcome));
+    time.schedule(time.nextMs(1, 60), () -> onEnded.accept(outcome));
   }
 
   private OrderOutcome carryOut(LeaseOrder order, SimulatedTarget run, long arrivedMs) {
     if (run.isEnded()) {
       return OrderOutcome.UNANSWERED;
     }
-    if (targetsAreNamed && !run.isMeant(order.target())) {
+    if (ordersNameTarget && !run.isAddressee(order.target())) {
       refusedGrants += order instanceof LeaseOrder.Grant ? 1 : 0;
       refusedReleases += order instanceof LeaseOrder.Release ? 1 : 0;
     }
-    OrderOutcome outcome = run.carryOut(order, targetsAreNamed, arrivedMs);
+    OrderOutcome outcome = run.carryOut(order, ordersNameTarget, arrivedMs);
     if (outcome == OrderOutcome.DONE && order instanceof LeaseOrder.Grant grant) {
-      promises.onGranted(run, grant, time.nowMs());
+      invariants.onGranted(run, grant, time.nowMs());
     }
     return outcome;
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedStore.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedStore.java
@@ -40,7 +40,7 @@
   }
 
   /** Comes back from a copy that lacks the newest writes. */
-  void comeBackWithout(int writes) {
+  void rollBack(int writes) {
     int kept = Math.max(1, written.size() - writes);
     written.subList(kept, written.size()).clear();
     epoch++;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTarget.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTarget.java
@@ -21,7 +21,7 @@
   private final long listedFromMs;
   private final long[] seenTokens = new long[SAMPLES];
   private final long[] heldUntilMs = new long[SAMPLES];
-  private final ServiceId[] heldFor = new ServiceId[SAMPLES];
+  private final ServiceId[] lastGrantedFor = new ServiceId[SAMPLES];
   private long listedUntilMs = Long.MAX_VALUE / 2;
   private boolean ended;
 
@@ -57,7 +57,7 @@
 
   /** Carries an order out; a lease runs since it arrived. What is named is looked at if it is. */
   OrderOutcome carryOut(LeaseOrder order, boolean named, long arrivedMs) {
-    if (named && !isMeant(order.target())) {
+    if (named && !isAddressee(order.target())) {
       return OrderOutcome.OTHER_TARGET;
     }
     if (order instanceof LeaseOrder.Grant grant) {
@@ -67,7 +67,7 @@
   }
 
   /** On the way to a run its name alone counts: a later run of the same target takes it too. */
-  boolean isMeant(TargetId target) {
+  boolean isAddressee(TargetId target) {
     return target.name().equals(id.name());
   }
 
@@ -81,7 +81,7 @@
       if (order.range().contains(i * STEP)) {
         seenTokens[i] = order.token();
         heldUntilMs[i] = arrivedMs + (long) (order.leaseMs() * clockRate);
-        heldFor[i] = order.service();
+        lastGrantedFor[i] = order.service();
       }
     }
     return OrderOutcome.DONE;
@@ -102,8 +102,8 @@
   }
 
   /** Returns the service in whose name the key was granted last; null if it never was. */
-  ServiceId heldFor(int sample) {
-    return heldFor[sample];
+  ServiceId lastGrantedFor(int sample) {
+    return lastGrantedFor[sample];
   }
 
   boolean isEnded() {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
@@ -17,8 +17,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A holder of the term with a desk for each service. It knows targets by the registry, whose list
- * it sees late, and sends orders to the addresses that it has seen there.
+ * A holder of the term with a manager for each service. It knows targets by the registry, whose
+ * list it sees late, and sends orders to the addresses that it has seen there.
  */
 final class SimulatedTermHolder {
 
@@ -29,13 +29,13 @@
   private final SimulatedFleet fleet;
   private final SimulatedNetwork network;
   private final SimulatedStore store;
-  private final Map<ServiceId, LeaseManager> desks = new LinkedHashMap<>();
+  private final Map<ServiceId, LeaseManager> managers = new LinkedHashMap<>();
   private final Set<TargetId> gone = new HashSet<>();
   private final Set<SimulatedTarget> answeredBy = new HashSet<>();
   private final Map<TargetId, String> storedAddresses = new HashMap<>();
   private final long term;
   private final long startedMs;
-  private final long listLagMs;
+  private final long registryLagMs;
   private final long takenOverFrom;
   private final boolean storedMayBeOld;
   private long revision;
@@ -47,9 +47,9 @@
   private boolean stopped;
   private boolean storeReachable = true;
   private final HostClock clock;
-  private Optional<UpperTime> lostAt = Optional.empty();
+  private Optional<UpperTime> termLostAt = Optional.empty();
   private boolean confirmed = true;
-  private boolean goesOnWhenStale;
+  private boolean keepsRunningWhenStale;
   private long tokenCount;
   private String unreachable = "";
   private long reachableAtMs;
@@ -60,7 +60,7 @@
       SimulatedFleet fleet,
       SimulatedNetwork network,
       SimulatedStore store,
-      boolean waitsForLostMoves) {
+      boolean waitsForLostWrites) {
     this.term = term;
     this.time = time;
     this.fleet = fleet;
@@ -68,11 +68,11 @@
     this.store = store;
     clock = new HostClock(time);
     startedMs = clock.nowMs();
-    listLagMs = time.between(0, 1_000);
+    registryLagMs = time.nextMs(0, 1_000);
     revision = store.revision();
     takenOverFrom = store.stored().term();
     for (ServiceId service : SimulatedFleet.SERVICES) {
-      desks.put(service, new LeaseManager(service, TIMINGS, () -> (term << 20) + ++tokenCount));
+      managers.put(service, new LeaseManager(service, TIMINGS, () -> (term << 20) + ++tokenCount));
     }
     long foreignUntilMs = startedMs + TIMINGS.foreignLeaseMs();
     store
@@ -82,11 +82,11 @@
     store
         .stored()
         .tables()
-        .forEach(t -> desks.get(t.service()).takeOver(t, startedMs, foreignUntilMs));
+        .forEach(t -> managers.get(t.service()).takeOver(t, startedMs, foreignUntilMs));
     epoch = store.epoch();
     storedMayBeOld = store.stored().storeEpoch() < epoch;
-    if (storedMayBeOld && waitsForLostMoves) {
-      desks.values().forEach(desk -> desk.assumeUnknownOwners(foreignUntilMs));
+    if (storedMayBeOld && waitsForLostWrites) {
+      managers.values().forEach(manager -> manager.assumeUnknownOwners(foreignUntilMs));
       // There may have been a record, although there is none.
       idleUntilMs = store.stored().tables().isEmpty() ? foreignUntilMs : 0;
     }
@@ -96,7 +96,7 @@
    * The store came back older: writes what this holder knows again, then gives its term up and
    * takes it anew, unless another one has it by then.
    */
-  void onStoreCameBack(Runnable onDone) {
+  void onStoreRolledBack(Runnable onDone) {
     if (isReplaced()) {
       stopped = true;
     } else if (!stopped && storeReachable && !storedMayBeOld) {
@@ -112,13 +112,13 @@
   }
 
   /** The path to one target is cut for a while; that of the holder before need not be. */
-  void cutFromOneTarget(long longestMs) {
-    unreachable = fleet.anyLiving().map(SimulatedTarget::address).orElse("");
-    reachableAtMs = time.nowMs() + time.between(0, longestMs);
+  void blockPathToAnyTarget(long longestMs) {
+    unreachable = fleet.anyRunning().map(SimulatedTarget::address).orElse("");
+    reachableAtMs = time.nowMs() + time.nextMs(0, longestMs);
   }
 
   /** The path to this target is cut until then. */
-  void cutFrom(SimulatedTarget target, long untilMs) {
+  void blockPathTo(SimulatedTarget target, long untilMs) {
     unreachable = target.address();
     reachableAtMs = untilMs;
   }
@@ -127,34 +127,34 @@
   void askPredecessor(SimulatedTermHolder predecessor) {
     predecessor.stopped = true;
     if (predecessor.term == takenOverFrom && !storedMayBeOld) {
-      desks.forEach(
-          (service, desk) ->
-              desk.limitForeignLeases(
-                  predecessor.desks.get(service).leasesLeft(predecessor.clock.nowMs()),
+      managers.forEach(
+          (service, manager) ->
+              manager.limitForeignLeases(
+                  predecessor.managers.get(service).leasesLeft(predecessor.clock.nowMs()),
                   clock.nowMs()));
     }
   }
 
   /** Another holder has the term; this one may or may not learn it from the store. */
-  void cutOff(boolean unreachableStore) {
+  void loseTerm(boolean unreachableStore) {
     storeReachable = !unreachableStore;
-    lostAt = Optional.of(clock.upper());
+    termLostAt = Optional.of(clock.upper());
   }
 
   /** A holder that meets higher tokens asks the store first: without an answer it goes on. */
-  void goOnWhenStale() {
-    goesOnWhenStale = true;
+  void keepRunningWhenStale() {
+    keepsRunningWhenStale = true;
   }
 
   /** Learns that another run answers at the address of a target. */
   void onGone(TargetId id) {
     gone.add(id);
-    desks.values().forEach(desk -> desk.onGone(id));
+    managers.values().forEach(manager -> manager.onGone(id));
   }
 
   /** Learns the same from the answer to an order: the target stays listed for now. */
   void onOtherTarget(TargetId id) {
-    desks.values().forEach(desk -> desk.onGone(id));
+    managers.values().forEach(manager -> manager.onGone(id));
   }
 
   /** Tells whether it gave up, be it that the term is still its own. */
@@ -166,24 +166,24 @@
     if (stopped || clock.isAsleep()) {
       return;
     }
-    if (clock.takeGain()) {
+    if (clock.takeClockGain()) {
       confirmed = false;
       confirm();
     }
     if (!confirmed || isGraceOver() || clock.nowMs() < idleUntilMs) {
       return;
     }
-    desks.forEach(this::decide);
+    managers.forEach(this::decide);
     write();
-    for (LeaseManager desk : desks.values()) {
-      desk.due(clock.nowMs(), target -> true).forEach(order -> send(desk, order));
+    for (LeaseManager manager : managers.values()) {
+      manager.due(clock.nowMs(), target -> true).forEach(order -> send(manager, order));
     }
-    boolean stale = desks.values().stream().anyMatch(LeaseManager::hasStaleTokens);
-    stopped |= stale && (storeReachable || !goesOnWhenStale);
+    boolean stale = managers.values().stream().anyMatch(LeaseManager::hasStaleTokens);
+    stopped |= stale && (storeReachable || !keepsRunningWhenStale);
   }
 
   private boolean isGraceOver() {
-    return lostAt.filter(at -> clock.upper().sinceMs(at) > TIMINGS.holderGraceMs()).isPresent();
+    return termLostAt.filter(at -> clock.upper().sinceMs(at) > TIMINGS.holderGraceMs()).isPresent();
   }
 
   /** Asks the store whether the term is still its own, as it may have slept. */
@@ -191,10 +191,10 @@
     if (!storeReachable) {
       return;
     }
-    time.later(
-        time.between(1, 60),
+    time.schedule(
+        time.nextMs(1, 60),
         () ->
-            clock.awake(
+            clock.runWhenAwake(
                 () -> {
                   stopped |= isReplaced();
                   confirmed = true;
@@ -205,25 +205,27 @@
     return clock;
   }
 
-  private void decide(ServiceId service, LeaseManager desk) {
+  private void decide(ServiceId service, LeaseManager manager) {
     // Who may take a name over has to know: no other holder is there while the term is confirmed.
-    boolean unconfirmed = fleet.namesAreUsedAgain() && lostAt.isPresent();
-    desk.setOutage(!storeReachable || unconfirmed);
+    boolean unconfirmed = fleet.reusesNames() && termLostAt.isPresent();
+    manager.setOutage(!storeReachable || unconfirmed);
     List<SimulatedTarget> usable = usable(service);
     if (usable.isEmpty()) {
       return;
     }
-    if (!desk.isPartitioned()) {
-      desk.partition(usable.stream().map(SimulatedTermHolder::listed).toList());
+    if (!manager.isPartitioned()) {
+      manager.partition(usable.stream().map(SimulatedTermHolder::listed).toList());
     }
-    usable.forEach(run -> desk.onRestarted(run.id()));
+    usable.forEach(run -> manager.onRestarted(run.id()));
     Set<TargetId> ids = usable.stream().map(SimulatedTarget::id).collect(Collectors.toSet());
-    desk.rangesWithUnusableOwner(ids::contains).forEach(keys -> moveAnywhere(desk, keys, usable));
-    if (time.onceIn(20)) {
-      moveAnywhere(desk, keysOf(time.draw(SimulatedTarget.SAMPLES)), usable);
+    manager
+        .rangesWithUnusableOwner(ids::contains)
+        .forEach(keys -> moveToRandomTarget(manager, keys, usable));
+    if (time.oneIn(20)) {
+      moveToRandomTarget(manager, keysOf(time.nextInt(SimulatedTarget.SAMPLES)), usable);
     }
-    if (time.onceIn(40)) {
-      desk.mergeAdjacentRanges(clock.nowMs());
+    if (time.oneIn(40)) {
+      manager.mergeAdjacentRanges(clock.nowMs());
     }
   }
 
@@ -236,7 +238,7 @@
     }
     for (int moved = 0, sample = 0; sample < SimulatedTarget.SAMPLES && moved < 2; sample++) {
       if (run.holds(sample, time.nowMs())) {
-        moveAnywhere(desks.get(run.service()), keysOf(sample), others);
+        moveToRandomTarget(managers.get(run.service()), keysOf(sample), others);
         moved++;
       }
     }
@@ -247,13 +249,14 @@
     return new KeyRange(first, first + SimulatedTarget.STEP - 1);
   }
 
-  private void moveAnywhere(LeaseManager desk, KeyRange keys, List<SimulatedTarget> usable) {
-    desk.move(keys, usable.get(time.draw(usable.size())).id(), clock.nowMs());
+  private void moveToRandomTarget(
+      LeaseManager manager, KeyRange keys, List<SimulatedTarget> usable) {
+    manager.move(keys, usable.get(time.nextInt(usable.size())).id(), clock.nowMs());
   }
 
   /** Returns the targets that may own keys, as far as this holder knows. */
   private List<SimulatedTarget> usable(ServiceId service) {
-    long seenMs = time.nowMs() - listLagMs;
+    long seenMs = time.nowMs() - registryLagMs;
     List<SimulatedTarget> usable = new ArrayList<>();
     for (SimulatedTarget run : fleet.runs()) {
       if (run.service().equals(service)
@@ -272,39 +275,41 @@
 
   private void write() {
     boolean needsWrite =
-        desks.values().stream().anyMatch(desk -> desk.needsWrite() || desk.isCleanupPending());
+        managers.values().stream()
+            .anyMatch(manager -> manager.needsWrite() || manager.isCleanupPending());
     if (writing || !(needsWrite || onRewritten.isPresent()) || !storeReachable) {
       return;
     }
     if (epoch != store.epoch()) {
-      readBack();
+      reload();
       return;
     }
     writing = true;
     Map<LeaseManager, Long> versions = new LinkedHashMap<>();
-    desks.values().forEach(desk -> versions.put(desk, desk.version()));
+    managers.values().forEach(manager -> versions.put(manager, manager.version()));
     OwnershipRecord next =
         OwnershipRecord.of(
             term,
-            desks.values().stream()
+            managers.values().stream()
                 .filter(LeaseManager::isPartitioned)
-                .map(desk -> desk.table(clock.nowMs()))
+                .map(manager -> manager.table(clock.nowMs()))
                 .toList(),
             this::addressOf,
             epoch);
     final long expected = revision;
     final Optional<Runnable> afterwards = onRewritten;
-    time.later(
-        time.between(0, 30),
+    time.schedule(
+        time.nextMs(0, 30),
         () -> {
           writing = false;
           if (!store.replace(expected, next)) {
-            readBack();
+            reload();
             return;
           }
           hasWritten = true;
           revision = store.revision();
-          time.later(time.between(0, 30), () -> clock.awake(() -> onWritten(versions, afterwards)));
+          time.schedule(
+              time.nextMs(0, 30), () -> clock.runWhenAwake(() -> onWritten(versions, afterwards)));
         });
   }
 
@@ -317,11 +322,11 @@
 
   /** Most gateways follow another holder by then, whatever the older store says of the term. */
   private boolean isReplaced() {
-    return lostAt.isPresent();
+    return termLostAt.isPresent();
   }
 
   /** Somebody else has written, or the store came back older and lacks what this holder wrote. */
-  private void readBack() {
+  private void reload() {
     boolean cameBack = epoch != store.epoch();
     // Before its first write, others may have written what it has not read.
     if (!cameBack
@@ -336,17 +341,17 @@
     revision = store.revision();
   }
 
-  private void send(LeaseManager desk, LeaseOrder order) {
+  private void send(LeaseManager manager, LeaseOrder order) {
     long sentMs = clock.nowMs();
     SimulatedTarget named = fleet.run(order.target());
     boolean cut = named.address().equals(unreachable) && time.nowMs() < reachableAtMs;
     Optional<String> address = addressOf(order.target());
     if (cut || address.isEmpty()) {
-      time.later(time.between(1, 60), () -> end(desk, order, OrderOutcome.NOT_SENT, sentMs));
+      time.schedule(time.nextMs(1, 60), () -> end(manager, order, OrderOutcome.NOT_SENT, sentMs));
       return;
     }
     if (order.knownConnectionOnly() && !isConnected(address)) {
-      time.later(1, () -> end(desk, order, OrderOutcome.NOT_SENT, sentMs));
+      time.schedule(1, () -> end(manager, order, OrderOutcome.NOT_SENT, sentMs));
       return;
     }
     Optional<SimulatedTarget> reached = fleet.runAt(address.get());
@@ -355,32 +360,33 @@
         address.get(),
         outcome -> {
           reached.filter(run -> outcome == OrderOutcome.DONE).ifPresent(answeredBy::add);
-          end(desk, order, outcome, sentMs);
+          end(manager, order, outcome, sentMs);
         });
   }
 
   /** Connections end with the run that they lead to. */
   private boolean isConnected(Optional<String> address) {
-    return !fleet.namesAreUsedAgain()
+    return !fleet.reusesNames()
         || address.flatMap(fleet::runAt).filter(answeredBy::contains).isPresent();
   }
 
   /** Knows a target that it has seen listed, or whose address an earlier holder wrote. */
   private Optional<String> addressOf(TargetId id) {
     SimulatedTarget named = fleet.run(id);
-    boolean seen = named != null && named.isListed(startedMs - listLagMs, time.nowMs() - listLagMs);
+    boolean seen =
+        named != null && named.isListed(startedMs - registryLagMs, time.nowMs() - registryLagMs);
     return seen ? Optional.of(named.address()) : Optional.ofNullable(storedAddresses.get(id));
   }
 
-  private void end(LeaseManager desk, LeaseOrder order, OrderOutcome outcome, long sentMs) {
-    clock.awake(() -> noteEnd(desk, order, outcome, sentMs));
+  private void end(LeaseManager manager, LeaseOrder order, OrderOutcome outcome, long sentMs) {
+    clock.runWhenAwake(() -> noteEnd(manager, order, outcome, sentMs));
   }
 
-  private void noteEnd(LeaseManager desk, LeaseOrder order, OrderOutcome outcome, long sentMs) {
+  private void noteEnd(LeaseManager manager, LeaseOrder order, OrderOutcome outcome, long sentMs) {
     if (order instanceof LeaseOrder.Grant grant) {
-      desk.onGrantEnded(grant, outcome, sentMs, clock.nowMs());
+      manager.onGrantEnded(grant, outcome, sentMs, clock.nowMs());
     } else if (order instanceof LeaseOrder.Release release) {
-      desk.onReleaseEnded(release, outcome, Optional.empty(), clock.nowMs());
+      manager.onReleaseEnded(release, outcome, Optional.empty(), clock.nowMs());
     }
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/VirtualTime.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/VirtualTime.java
@@ -20,30 +20,30 @@
   }
 
   /** Draws one of so many numbers, from 0. */
-  int draw(int bound) {
+  int nextInt(int bound) {
     return random.nextInt(bound);
   }
 
   /** Tells whether something happens that happens once in so many times. */
-  boolean onceIn(int times) {
+  boolean oneIn(int times) {
     return random.nextInt(times) == 0;
   }
 
   /** Draws a time. */
-  long between(long leastMs, long boundMs) {
+  long nextMs(long leastMs, long boundMs) {
     return random.nextLong(leastMs, boundMs);
   }
 
-  double share() {
+  double nextDouble() {
     return random.nextDouble();
   }
 
-  void later(long delayMs, Runnable action) {
+  void schedule(long delayMs, Runnable action) {
     events.add(new Event(nowMs + delayMs, eventCount++, action));
   }
 
   /** Lets time pass; what is due happens in its order, at the end of the step. */
-  void pass(long stepMs) {
+  void advance(long stepMs) {
     nowMs += stepMs;
     while (!events.isEmpty() && events.peek().atMs() <= nowMs) {
       events.poll().action().run();
