--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/GrantedLeases.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/GrantedLeases.java
@@ -4,17 +4,18 @@
 import java.util.List;
 
 /**
- * The leases of one range at one owner, as far as one holder granted them.
+ * The leases on one range that one term holder granted to one owner. Immutable.
  *
- * <p>The answer to a grant does not tell which run of the owner gave it. So a lease is void early
- * only if another target answers at the owner's address to an order that was sent after the grant
- * had ended: whichever run took the grant has ended by then. Immutable.
+ * <p>The answer to a grant does not identify the run of the owner that sent it. A lease is therefore
+ * void before its expiry only if another target answers at the owner's address to an order that was
+ * sent after the grant had ended: whichever run accepted the grant has terminated by then.
  */
 final class GrantedLeases {
 
   /** No lease. */
   static final GrantedLeases NONE = new GrantedLeases(List.of());
 
+  /** The end of a grant whose outcome is no longer awaited: no later answer voids its lease. */
   private static final long NEVER_MS = Long.MAX_VALUE;
 
   private final List<Lease> leases;
@@ -23,7 +24,7 @@
     this.leases = List.copyOf(leases);
   }
 
-  /** Returns these and that of a grant which ended just now, with or without an answer. */
+  /** Returns these leases and that of a grant that has ended, with or without an answer. */
   GrantedLeases with(long untilMs, long endedMs) {
     Lease added = new Lease(untilMs, endedMs);
     List<Lease> both = new ArrayList<>(leases);
@@ -32,12 +33,12 @@
     return new GrantedLeases(both);
   }
 
-  /** Returns these and that of a grant whose end will not be noticed. */
+  /** Returns these leases and that of a grant whose outcome will not be observed. */
   GrantedLeases withUnobserved(long untilMs) {
     return with(untilMs, NEVER_MS);
   }
 
-  /** Returns these and the others, of which either may be in force. */
+  /** Returns these leases and the others, any of which may be in force. */
   GrantedLeases mergedWith(GrantedLeases others) {
     GrantedLeases joined = this;
     for (Lease lease : others.leases) {
@@ -46,12 +47,16 @@
     return joined;
   }
 
-  /** Another target answered to an order that was sent then: returns what may still be in force. */
+  /**
+   * Returns the leases that may still be in force after another target answered to an order.
+   *
+   * @param sentMs when the order was sent
+   */
   GrantedLeases withoutGrantsEndedBefore(long sentMs) {
     return new GrantedLeases(leases.stream().filter(lease -> lease.endedMs >= sentMs).toList());
   }
 
-  /** Returns until when any of them may be in force; 0 if there is none. */
+  /** Returns until when any of the leases may be in force; 0 if there is none. */
   long untilMs() {
     return leases.stream().mapToLong(Lease::untilMs).max().orElse(0);
   }
@@ -60,11 +65,11 @@
    * One lease.
    *
    * @param untilMs until when it may be in force
-   * @param endedMs when its grant was answered or given up, or later
+   * @param endedMs a time at or after which its grant was answered or timed out
    */
   private record Lease(long untilMs, long endedMs) {
 
-    /** Tells whether the other one need not be kept beside this one. */
+    /** Returns whether this lease makes the other one redundant. */
     boolean outlasts(Lease other) {
       return untilMs >= other.untilMs && endedMs >= other.endedMs;
     }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/KeyRange.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/KeyRange.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * A run of neighbouring keys.
+ * A contiguous range of keys.
  *
  * @param first the lowest key
- * @param last the highest key, which belongs to the range; at least {@code first}
+ * @param last the highest key, inclusive; at least {@code first}
  * @since 0.2
  */
 public record KeyRange(int first, int last) {
@@ -15,10 +15,10 @@
   /** The highest key. */
   public static final int MAX_KEY = 65_535;
 
-  /** How many keys there are. */
+  /** The number of keys. */
   public static final int KEY_COUNT = MAX_KEY + 1;
 
-  /** Every key. */
+  /** The range of all keys. */
   public static final KeyRange ALL = new KeyRange(0, MAX_KEY);
 
   /**
@@ -28,12 +28,12 @@
    */
   public KeyRange {
     if (first < 0 || last > MAX_KEY || first > last) {
-      throw new IllegalArgumentException("no key range: " + first + " to " + last);
+      throw new IllegalArgumentException("invalid key range: " + first + " to " + last);
     }
   }
 
   /**
-   * Returns how many keys it has.
+   * Returns the number of keys in the range.
    *
    * @return at least 1
    */
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Tells whether it has a key.
+   * Returns whether a key lies in the range.
    *
    * @param key the key
    * @return true if it lies within the bounds
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Tells whether it has every key of another range.
+   * Returns whether all keys of another range lie in this one.
    *
    * @param other the other range; not null
    * @return true if the other lies within the bounds
@@ -62,10 +62,10 @@
   }
 
   /**
-   * Returns what is left of it without the keys of another range.
+   * Returns the parts of this range that are not in another range.
    *
    * @param other the other range; not null
-   * @return no range, one or two, in order; never null
+   * @return up to two ranges in the order of keys; never null
    */
   public List<KeyRange> without(KeyRange other) {
     if (other.last < first || last < other.first) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
@@ -14,20 +14,20 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Grants, renews and moves the key ranges of one service, for the holder of the term.
+ * Grants, renews and moves the leases on the key ranges of one service. Used by the term holder.
  *
- * <p>What it promises: an order that gives keys to a target is issued only once the assignment is
- * durable and every target that may have leased them is proved not to: it answered a release that
- * carries the new token, or its lease has run out on the slowest clock allowed, or another target
- * answered in its place to an order that was sent after the last grant had ended. A grant without
- * an answer may be carried out later; until its time is over, a release alone is no proof. Not safe
- * for use by several threads.
+ * <p>Safety guarantee: a grant for a range is issued only after the assignment is durable and every
+ * target that may have held the range is known to hold it no longer. That is known once the target
+ * has answered a release that carries the new token, or its lease has expired even on the slowest
+ * permitted clock, or another target has answered in its place to an order that was sent after the
+ * last grant had ended. A grant that got no answer may still be carried out later; until its lease
+ * would have expired, a successful release alone is not sufficient. Not thread-safe.
  *
  * @since 0.2
  */
 public final class LeaseManager {
 
-  /** Stands for any target at all; no order can reach it. */
+  /** Placeholder for a previous owner that is not known; orders are never sent to it. */
   private static final TargetId UNKNOWN_OWNER = new TargetId("unknown-owner");
 
   private final ServiceId service;
@@ -41,12 +41,12 @@
   private boolean outage;
 
   /**
-   * Creates a desk without any assignment.
+   * Creates a manager without assignments.
    *
    * @param service the service; not null
-   * @param timings the times; not null
-   * @param tokens gives fencing tokens, each above all that were given before, by any holder; not
-   *     null
+   * @param timings the lease timings; not null
+   * @param tokens supplies fencing tokens, each higher than all tokens issued before by any term
+   *     holder; not null
    */
   public LeaseManager(ServiceId service, LeaseTimings timings, LongSupplier tokens) {
     this.service = service;
@@ -55,14 +55,17 @@
   }
 
   /**
-   * Takes over what an earlier holder wrote. Every owner gets its ranges again, under a new token.
+   * Takes over the assignments that an earlier term holder stored. Every owner keeps its ranges and
+   * is granted them again under a new token.
    *
-   * <p>Only owners may have been renewed since the table was written. For previous owners its
-   * bounds count, from now: else each holder would wait anew for the longest lease of any other.
+   * <p>Only owners can have been renewed since the table was written. For previous owners the
+   * stored bounds apply, counted from now. Without them, each new term holder would wait again for
+   * the longest lease that any earlier one could have granted.
    *
    * @param table the stored assignments; not null
-   * @param nowMs when they had been read, or later; milliseconds
-   * @param foreignUntilMs until when leases of earlier holders may be in force
+   * @param nowMs a time at or after the read of the table; milliseconds
+   * @param foreignUntilMs until when leases granted by earlier term holders may be in force;
+   *     milliseconds
    */
   public void takeOver(OwnershipTable table, long nowMs, long foreignUntilMs) {
     long token = tokens.getAsLong();
@@ -75,7 +78,8 @@
         long leftMs = Math.min(longestMs, assignment.leftMs(id).orElse(longestMs));
         leased.assumePreviousOwner(id, nowMs + leftMs);
       }
-      // Most leases outlive a change of the holder; a wrong guess costs a refused attempt.
+      // Most leases outlive a change of the term holder; if this one has not, the target refuses
+      // the request.
       leased.assumeGranted();
       ranges.add(leased);
     }
@@ -83,10 +87,10 @@
   }
 
   /**
-   * Keeps all keys closed, since nobody knows any more who may hold them.
+   * Keeps all ranges closed because any target may still hold them, for example after the store has
+   * lost writes.
    *
-   * @param untilMs until when leases of earlier holders may be in force; a time of the clock;
-   *     milliseconds
+   * @param untilMs until when leases granted by earlier term holders may be in force; milliseconds
    */
   public void assumeUnknownOwners(long untilMs) {
     ranges.forEach(leased -> leased.assumePreviousOwner(UNKNOWN_OWNER, untilMs));
@@ -94,10 +98,11 @@
   }
 
   /**
-   * Learns from the holder before which leases may still be in force; it grants no more.
+   * Shortens the assumed foreign leases to those that the previous term holder reports. The
+   * previous term holder must have stopped granting leases.
    *
-   * @param leases every lease that it knows of, of any service; not null
-   * @param nowMs the time; milliseconds
+   * @param leases every lease that it reports, for any service; not null
+   * @param nowMs the current time; milliseconds
    */
   public void limitForeignLeases(List<LeaseLeft> leases, long nowMs) {
     for (LeasedRange leased : ranges) {
@@ -109,7 +114,7 @@
     long leftMs = 0;
     for (LeaseLeft lease : leases) {
       boolean overlaps = lease.firstKey() <= range.last() && range.first() <= lease.lastKey();
-      // That holder need not have noticed which run of the target took its grants.
+      // The previous term holder may not know which run of the target received its grants.
       boolean sameTarget = lease.target().name().equals(target.name());
       if (overlaps && sameTarget && lease.service().equals(service)) {
         leftMs = Math.max(leftMs, lease.leftMs());
@@ -119,9 +124,9 @@
   }
 
   /**
-   * Returns which leases may still be in force.
+   * Returns the leases that may still be in force.
    *
-   * @param nowMs the time; milliseconds
+   * @param nowMs the current time; milliseconds
    * @return never null
    */
   public List<LeaseLeft> leasesLeft(long nowMs) {
@@ -144,7 +149,7 @@
   }
 
   /**
-   * Assigns all keys for the first time, in proportion to the slots of the targets.
+   * Creates the initial assignment of all keys, in proportion to the slots of the targets.
    *
    * @param targets the targets; not null, not empty
    */
@@ -169,20 +174,20 @@
   }
 
   /**
-   * Tells whether keys are assigned at all.
+   * Returns whether the keys are assigned.
    *
-   * @return false before {@link #takeOver} or {@link #partition}
+   * @return false before {@link #takeOver} or {@link #partition} is called
    */
   public boolean isPartitioned() {
     return !ranges.isEmpty();
   }
 
   /**
-   * Gives a range, or a part of one, to another target. Takes effect once it is written.
+   * Assigns keys to another target. Orders are issued only after the change is written.
    *
-   * @param keys the keys; not null
-   * @param to the next owner; not null
-   * @param nowMs the time; milliseconds
+   * @param keys the keys; ranges that overlap them partly are split; not null
+   * @param to the new owner; not null
+   * @param nowMs the current time; milliseconds
    */
   public void move(KeyRange keys, TargetId to, long nowMs) {
     ranges.splitAt(keys);
@@ -197,7 +202,7 @@
   }
 
   /**
-   * Returns how many ranges there are; each is a lease to renew.
+   * Returns the number of ranges. Each range is one lease to renew.
    *
    * @return at least 0
    */
@@ -206,9 +211,9 @@
   }
 
   /**
-   * Finds the ranges whose owner must not have them any longer.
+   * Returns the ranges whose owner may no longer own keys.
    *
-   * @param usable tells whether a target may own keys; not null
+   * @param usable tests whether a target may own keys; not null
    * @return never null
    */
   public List<KeyRange> rangesWithUnusableOwner(Predicate<TargetId> usable) {
@@ -216,9 +221,9 @@
   }
 
   /**
-   * Learns that a target is said to have ended. This frees no key: the news may be old, and the
-   * next run of the target's name may have taken grants since. The target is asked at once, and who
-   * answers in its place proves it.
+   * Handles a report that a target has terminated. The report alone ends no lease: it may be late,
+   * and the next run under the same name may have accepted grants since. Orders to the target become
+   * due at once, and an answer from another target proves that it has terminated.
    *
    * @param id the target; not null
    */
@@ -227,14 +232,14 @@
   }
 
   /**
-   * Learns that a target has started again under the name that it had.
+   * Handles the restart of a target under the same name.
    *
-   * <p>The new run holds nothing of before, but orders for the one before may have reached it. So
-   * what that one may hold is put down to the new run, which can be asked: it gets its keys again
-   * at once under a higher token, or releases them.
+   * <p>The new run holds none of the earlier leases, but orders for the earlier run may have reached
+   * it. Leases of the earlier run are therefore attributed to the new run, which can be reached: it
+   * is granted its ranges again at once under a higher token, or is asked to release them.
    *
-   * @param run the run that lives; not null
-   * @return whether it takes anything over
+   * @param run the current run; not null
+   * @return whether any lease was attributed to it
    */
   public boolean onRestarted(TargetId run) {
     boolean takesOver = false;
@@ -246,8 +251,8 @@
   }
 
   /**
-   * Learns whether the store answers. If it does not, all leases are renewed at once and for
-   * longer.
+   * Sets whether the store is unavailable. When an outage begins, all leases become due for
+   * renewal at once; during the outage they are granted for longer.
    *
    * @param now true while the store does not answer
    */
@@ -259,11 +264,12 @@
   }
 
   /**
-   * Returns the orders to send now.
+   * Returns the orders to send now and records them as sent.
    *
-   * @param nowMs the time; milliseconds
-   * @param canSendTo tells whether a target may get one more order now; asked before each; not null
-   * @return never null; each counts as sent
+   * @param nowMs the current time; milliseconds
+   * @param canSendTo tests whether one more order may be sent to a target now; called before each
+   *     order; not null
+   * @return never null
    */
   public List<LeaseOrder> due(long nowMs, Predicate<TargetId> canSendTo) {
     List<LeaseOrder> orders = new ArrayList<>();
@@ -278,7 +284,8 @@
         toGrant.add(leased);
       }
     }
-    // Orders under way are bounded: those without a lease, then those that lose it first.
+    // The number of orders in flight is limited: owners without a lease come first, then those
+    // whose lease expires first.
     toGrant.sort(Comparator.comparingLong(LeasedRange::renewedUntilMs));
     for (LeasedRange leased : toGrant) {
       if (canSendTo.test(leased.owner())) {
@@ -289,8 +296,8 @@
   }
 
   /**
-   * Returns the pause between two renewals of a lease: longer if there are many leases, so that the
-   * holder has no more to send a second.
+   * Returns the interval between two renewals of a lease. It grows with the number of leases, which
+   * limits the orders per second that the term holder sends.
    */
   private long renewMs() {
     long spreadMs = ranges.size() * timings.renewalCostMs();
@@ -325,13 +332,13 @@
   }
 
   /**
-   * Takes the answer to a grant.
+   * Handles the outcome of a grant.
    *
    * @param order the grant; not null
    * @param outcome how it ended; not null
    * @param sentMs when it was sent; milliseconds
-   * @param nowMs the time; milliseconds
-   * @return whether keys that nobody could use before can be used from now on
+   * @param nowMs the current time; milliseconds
+   * @return whether the grant opened a range that was closed before
    */
   public boolean onGrantEnded(
       LeaseOrder.Grant order, OrderOutcome outcome, long sentMs, long nowMs) {
@@ -357,12 +364,12 @@
   }
 
   /**
-   * Takes the answer to a release.
+   * Handles the outcome of a release.
    *
    * @param order the release; not null
    * @param outcome how it ended; not null
-   * @param handover what the target passed on; not null
-   * @param nowMs the time; milliseconds
+   * @param handover the data that the target returned for the next owner; not null
+   * @param nowMs the current time; milliseconds
    */
   public void onReleaseEnded(
       LeaseOrder.Release order, OrderOutcome outcome, Optional<String> handover, long nowMs) {
@@ -390,7 +397,7 @@
   }
 
   /**
-   * Tells whether a target knows a higher token than the one in use.
+   * Returns whether a target has rejected a grant because it knows a higher token.
    *
    * @return true until {@link #renewTokens()} is called
    */
@@ -398,7 +405,7 @@
     return ranges.any(LeasedRange::isStale);
   }
 
-  /** Goes on with higher tokens where ours were stale, once the term is confirmed. */
+  /** Replaces stale tokens by higher ones. To be called after the term was confirmed. */
   public void renewTokens() {
     for (LeasedRange leased : ranges) {
       if (leased.isStale()) {
@@ -408,19 +415,19 @@
   }
 
   /**
-   * Joins neighbouring ranges of one owner where nothing is under way, so that fewer leases need
-   * renewal. The joined range goes on under a new token at the same owner.
+   * Merges adjacent ranges of one owner that have no order in flight, which leaves fewer leases to
+   * renew. If their tokens differ, the merged range gets a new one.
    *
-   * @param nowMs the time; milliseconds
+   * @param nowMs the current time; milliseconds
    */
   public void mergeAdjacentRanges(long nowMs) {
     ranges.mergeAdjacentRanges(nowMs, tokens);
   }
 
   /**
-   * Returns the assignments to write.
+   * Returns the assignments to store.
    *
-   * @param nowMs the time; milliseconds
+   * @param nowMs the current time; milliseconds
    * @return never null
    */
   public OwnershipTable table(long nowMs) {
@@ -430,34 +437,34 @@
   /**
    * Returns the version of the assignments.
    *
-   * @return grows with each change that has to be durable before it takes effect
+   * @return a number that increases with each change that must be durable before it takes effect
    */
   public long version() {
     return version;
   }
 
   /**
-   * Tells whether assignments wait for being written.
+   * Returns whether there are assignments that have not been written.
    *
-   * @return true if orders are leased back until they are
+   * @return true if orders are held back until they are written
    */
   public boolean needsWrite() {
     return version > writtenVersion;
   }
 
   /**
-   * Tells whether the stored assignments name previous owners that hold nothing any more.
+   * Returns whether the stored assignments list previous owners that no longer hold a lease.
    *
-   * @return true if a write would spare the next holder some work
+   * @return true if a write would save the next term holder from releasing them
    */
   public boolean isCleanupPending() {
     return cleanupPending;
   }
 
   /**
-   * Learns that assignments are durable.
+   * Handles the successful write of the assignments.
    *
-   * @param written the version that {@link #table()} had
+   * @param written the value of {@link #version()} when {@link #table} was called
    */
   public void onWritten(long written) {
     writtenVersion = Math.max(writtenVersion, written);
@@ -465,7 +472,7 @@
   }
 
   /**
-   * Returns where requests go now, and marks it as known.
+   * Returns the current routes and resets {@link #routesChanged()}.
    *
    * @return in the order of keys; never null
    */
@@ -474,9 +481,10 @@
   }
 
   /**
-   * Returns where requests go now, and marks it as known.
+   * Returns the current routes and resets {@link #routesChanged()}.
    *
-   * @param refusedPercent which part of the requests for a range gateways refuse; not null
+   * @param refusedPercent returns the percentage of requests for a range that gateways refuse; not
+   *     null
    * @return in the order of keys; never null
    */
   public List<RangeRoute> routes(ToIntFunction<KeyRange> refusedPercent) {
@@ -485,20 +493,20 @@
   }
 
   /**
-   * Tells whether {@link #routes()} changed since it was last called.
+   * Returns whether the routes have changed since {@link #routes()} was last called.
    *
-   * @return true if routers have to be told
+   * @return true if routers have to be updated
    */
   public boolean routesChanged() {
     return routesChanged;
   }
 
   /**
-   * Returns the ranges of each target that may be moved without a detour, or the others.
+   * Returns the ranges of each owner that are settled, or those that are not. A settled range has a
+   * granted lease, no previous owner, and no grant that is in flight or may still be carried out.
    *
-   * @param settled true for those that may be moved, false for those on which something is under
-   *     way
-   * @param nowMs the time; milliseconds
+   * @param settled true for settled ranges, false for the others
+   * @param nowMs the current time; milliseconds
    * @return by owner; never null
    */
   public Map<TargetId, List<KeyRange>> rangesByOwner(boolean settled, long nowMs) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseOrder.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseOrder.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * Something that a target has to be told about a range.
+ * An order to a target to take, keep or give up a lease on a range.
  *
  * @since 0.2
  */
@@ -19,7 +19,7 @@
   ServiceId service();
 
   /**
-   * Returns the receiver.
+   * Returns the target that the order is for.
    *
    * @return never null
    */
@@ -35,15 +35,16 @@
   /**
    * Returns the fencing token.
    *
-   * @return above every token that was used for these keys before, or the same for a renewal
+   * @return higher than every token used for these keys before, or the same for a renewal
    */
   long token();
 
   /**
-   * Tells whether it may only go over a connection on which the target has answered before.
+   * Returns whether the order may only be sent over a connection on which the target has answered
+   * before.
    *
-   * <p>A holder that may have been replaced must not reach another run which has the name of the
-   * one that it knows: that run remembers no token by which it could refuse.
+   * <p>A term holder that may have been replaced must not reach a newer run of the target under the
+   * same name: that run has not seen the tokens by which it could refuse the order.
    *
    * @return true while the term is not confirmed
    */
@@ -53,11 +54,11 @@
    * Grants or renews a lease.
    *
    * @param service the service; not null
-   * @param target the receiver; not null
+   * @param target the target that the order is for; not null
    * @param range the keys; not null
    * @param token the fencing token
-   * @param leaseMs how long it runs; milliseconds
-   * @param handover what the previous owner passed on; not null
+   * @param leaseMs the duration of the lease; milliseconds
+   * @param handover the data that the previous owner returned on release; not null
    * @param knownConnectionOnly see {@link LeaseOrder#knownConnectionOnly()}
    */
   record Grant(
@@ -74,9 +75,9 @@
    * Ends a lease.
    *
    * @param service the service; not null
-   * @param target the receiver; not null
+   * @param target the target that the order is for; not null
    * @param range the keys; not null
-   * @param token the fencing token of the next owner, so that late grants are refused
+   * @param token the fencing token of the next owner, so that the target refuses late grants
    * @param knownConnectionOnly see {@link LeaseOrder#knownConnectionOnly()}
    */
   record Release(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseTimings.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseTimings.java
@@ -1,18 +1,20 @@
 package io.cuminvalve.core.lease;
 
 /**
- * The times of leases at targets. All in milliseconds.
+ * Durations that govern leases at targets. All in milliseconds unless stated otherwise.
  *
- * @param leaseMs how long a lease runs from its arrival at the target
- * @param outageLeaseMs how long it runs if it was granted while the store did not answer: nobody
- *     may be able to renew it for as long as that lasts
- * @param renewMs pause between two renewals
- * @param maxRenewMs the same if there are so many leases that the holder needs more time
- * @param renewalCostMs time that the holder takes for one renewal at a bearable load
- * @param retryMs pause before an order that got no answer is sent again
- * @param clockDrift by how much a target's clock may run slow, as a share
- * @param marginMs added to every bound on another process's lease, for timers that fire late
- * @param holderGraceMs for how long a holder that the store does not answer goes on renewing
+ * @param leaseMs duration of a lease, counted from its arrival at the target
+ * @param outageLeaseMs duration of a lease granted while the store does not answer; longer, because
+ *     it may be impossible to renew it until the outage ends
+ * @param renewMs interval between two renewals of a lease
+ * @param maxRenewMs upper limit of that interval when it is extended because of many leases
+ * @param renewalCostMs time that the term holder needs for one renewal under acceptable load
+ * @param retryMs delay before an order that was not carried out is sent again
+ * @param clockDrift maximum drift of a target's clock, as a fraction: 0.02 is 2% slow
+ * @param marginMs safety margin for timers that fire late, added to every bound on the lease of
+ *     another process
+ * @param holderGraceMs how long a term holder continues to renew leases while the store does not
+ *     answer
  * @since 0.2
  */
 public record LeaseTimings(
@@ -27,11 +29,11 @@
     long holderGraceMs) {
 
   /**
-   * Returns how long a lease may be in force after it was sent, counted on the sender's clock.
+   * Returns how long a lease may be in force after its grant was sent, on the sender's clock.
    *
-   * <p>The time on the way is not included: bytes that are held up are lost with their connection.
+   * <p>Network delay is not included: bytes that are delayed are lost with their connection.
    *
-   * @param grantedMs for how long it was granted; milliseconds
+   * @param grantedMs the granted duration; milliseconds
    * @return milliseconds
    */
   public long boundMs(long grantedMs) {
@@ -39,7 +41,7 @@
   }
 
   /**
-   * Returns for how long leases of another holder may be in force after it lost its term.
+   * Returns how long leases of another term holder may be in force after it lost its term.
    *
    * @return milliseconds
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
@@ -9,7 +9,7 @@
 import java.util.function.LongSupplier;
 import java.util.function.ToLongFunction;
 
-/** One range, as the holder of the term sees it. */
+/** The state of one key range and its lease, as known to the term holder. */
 final class LeasedRange {
 
   private final KeyRange range;
@@ -18,7 +18,7 @@
   private long token;
   private boolean tokenSent;
 
-  /** The version of the assignments that has to be durable before this one is acted on. */
+  /** The version of the assignments that must be durable before orders for this range are sent. */
   private long neededVersion;
 
   private Optional<String> handover = Optional.empty();
@@ -27,15 +27,16 @@
   private boolean grantInFlight;
   private long nextGrantMs;
 
-  /** What this holder granted the owner, without the grant in flight. */
+  /** The leases that this term holder granted to the owner, without the grant in flight. */
   private GrantedLeases leases = GrantedLeases.NONE;
 
-  /** Until when a lease of the owner may be in force that an earlier holder granted. */
+  /** Until when a lease that an earlier term holder granted to the owner may be in force. */
   private long foreignUntilMs;
 
-  /** The same for the grant in flight. */
+  /** Until when the lease of the grant in flight may be in force. */
   private long inFlightUntilMs;
 
+  /** Until when a grant that got no answer may still be carried out. */
   private long unansweredUntilMs;
 
   LeasedRange(KeyRange range, TargetId owner, long token, long neededVersion) {
@@ -45,7 +46,7 @@
     this.neededVersion = neededVersion;
   }
 
-  /** Returns the same state for other keys: a part of these, or these and their neighbours. */
+  /** Returns a copy of this state for other keys, when ranges are split or merged. */
   LeasedRange withKeys(KeyRange keys) {
     LeasedRange copy = new LeasedRange(keys, owner, token, neededVersion);
     previousOwners.forEach((id, previous) -> copy.previousOwners.put(id, previous.copy()));
@@ -94,7 +95,10 @@
     return stale;
   }
 
-  /** Tells whether nothing is under way, so that the range may be moved without a detour. */
+  /**
+   * Returns whether the range is open and no order is in flight or may still be carried out, so that
+   * it can be moved without waiting for an earlier move.
+   */
   boolean isSettled(long nowMs) {
     return isOpen() && !stale && !grantInFlight && unansweredUntilMs <= nowMs;
   }
@@ -107,24 +111,24 @@
     foreignUntilMs = untilMs;
   }
 
-  /** Returns until when the lease runs that this holder granted last; 0 if it granted none. */
+  /** Returns when the leases that this term holder granted expire; 0 if it granted none. */
   long renewedUntilMs() {
     return leases.untilMs();
   }
 
-  /** Returns until when the owner may hold the range, by whatever lease. */
+  /** Returns until when the owner may hold the range under any lease. */
   long ownerUntilMs() {
     long underWayMs = grantInFlight ? inFlightUntilMs : 0;
     return Math.max(Math.max(leases.untilMs(), underWayMs), foreignUntilMs);
   }
 
-  /** An earlier holder told until when a target may hold these keys. */
+  /** Limits foreign leases to the expiry times that an earlier term holder reported. */
   void limitForeign(ToLongFunction<TargetId> untilMs) {
     foreignUntilMs = Math.min(foreignUntilMs, untilMs.applyAsLong(owner));
     previousOwners.forEach((id, previous) -> previous.limitForeign(untilMs.applyAsLong(id)));
   }
 
-  /** The owner probably has its lease from the holder before: requests may go there. */
+  /** Opens the range: the owner probably still has a lease from the previous term holder. */
   void assumeGranted() {
     granted = true;
   }
@@ -133,7 +137,7 @@
     previousOwners.put(id, new PreviousOwner(GrantedLeases.NONE, 0, foreignUntil, 0));
   }
 
-  /** Returns for how long each previous owner may still hold the range. */
+  /** Returns how long each previous owner may still hold the range. */
   List<LeaseBound> bounds(long nowMs) {
     List<LeaseBound> bounds = new ArrayList<>();
     previousOwners.forEach(
@@ -144,7 +148,7 @@
   void reassign(TargetId newOwner, long newToken, long version, long nowMs) {
     long underWayMs = grantInFlight ? inFlightUntilMs : 0;
     long openUntilMs = grantInFlight ? inFlightUntilMs : unansweredUntilMs;
-    previousOwners.values().forEach(PreviousOwner::restart);
+    previousOwners.values().forEach(PreviousOwner::restartRelease);
     if (ownerUntilMs() > nowMs) {
       previousOwners.put(owner, new PreviousOwner(leases, underWayMs, foreignUntilMs, openUntilMs));
     }
@@ -158,7 +162,10 @@
     granted = false;
   }
 
-  /** A later run of a target stands in for those before. Tells whether that changes anything. */
+  /**
+   * Attributes the leases of earlier runs of a target to a later run. Returns whether there were
+   * any.
+   */
   boolean onRestarted(TargetId run) {
     boolean takesOver = false;
     for (TargetId id : List.copyOf(previousOwners.keySet())) {
@@ -184,10 +191,10 @@
   }
 
   /**
-   * Takes another token unless this one was never sent in a grant.
+   * Takes a new token unless the current one was never sent in a grant.
    *
-   * <p>Another run of the owner may answer under the same name. For that run it is no renewal but a
-   * first grant, and its token has to be above that of the run before.
+   * <p>A renewal may reach another run of the owner under the same name. For that run it is a first
+   * grant, so its token must be higher than that of the earlier run.
    */
   void useFreshToken(LongSupplier tokens) {
     if (tokenSent) {
@@ -200,7 +207,7 @@
     nextGrantMs = 0;
   }
 
-  /** Goes on with the same owner under a higher token. */
+  /** Continues under a higher token; the next grant is due at once. */
   void resetWithToken(long newToken) {
     token = newToken;
     tokenSent = false;
@@ -230,7 +237,7 @@
       }
       case REJECTED, OTHER_TARGET -> granted = false;
       default -> {
-        // Nothing was sent: the lease runs on as it is.
+        // Nothing was sent: the lease is unchanged.
       }
     }
   }
@@ -245,7 +252,10 @@
     }
   }
 
-  /** The target is said to have ended: it is asked at once, which proves it or not. */
+  /**
+   * Makes the next order to a target due at once, after a report that it has terminated. The answer
+   * shows whether it has.
+   */
   void makeOrdersDue(TargetId id) {
     PreviousOwner previous = previousOwners.get(id);
     if (previous != null) {
@@ -256,7 +266,13 @@
     }
   }
 
-  /** Another target answered to an order for this one that was sent then. */
+  /**
+   * Drops the leases that cannot be in force any longer because another target answered to an order
+   * for this one.
+   *
+   * @param id the target that the order was for
+   * @param sentMs when the order was sent
+   */
   void onOtherTarget(TargetId id, long sentMs) {
     PreviousOwner previous = previousOwners.get(id);
     if (previous != null) {
@@ -268,12 +284,12 @@
     }
   }
 
-  /** Drops the previous owners that hold nothing any more. Tells whether there were any. */
+  /** Removes previous owners that no longer hold the range. Returns whether there were any. */
   boolean removeOwnersWithoutLease(long nowMs) {
     return previousOwners.values().removeIf(previous -> previous.holdsNoLease(nowMs));
   }
 
-  /** Tells whether a neighbour is in the same state, so that one lease can serve both. */
+  /** Returns whether the next range is adjacent and one lease of the same owner can cover both. */
   boolean canMergeWith(LeasedRange next, long nowMs) {
     return owner.equals(next.owner)
         && isSettled(nowMs)
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRanges.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRanges.java
@@ -11,9 +11,10 @@
 import java.util.function.ToIntFunction;
 
 /**
- * The ranges of one service in the order of their keys: how they are cut, joined and listed.
+ * The key ranges of one service in the order of their keys, with operations to split, merge and
+ * list them.
  *
- * <p>Which orders a range needs is the matter of {@link LeaseManager}.
+ * <p>{@link LeaseManager} decides which orders a range needs.
  */
 final class LeasedRanges implements Iterable<LeasedRange> {
 
@@ -35,7 +36,7 @@
     return ranges.stream().anyMatch(condition);
   }
 
-  /** Returns when a release was sent; 0 if nothing waits for its answer any more. */
+  /** Returns when a release was sent; 0 if no range waits for its answer any longer. */
   long releaseSentMs(LeaseOrder.Release order) {
     long sentMs = 0;
     for (LeasedRange leased : ranges) {
@@ -52,7 +53,7 @@
     return ranges.iterator();
   }
 
-  /** Cuts ranges so that none lies partly in the given one. */
+  /** Splits ranges so that none overlaps the given keys partly. */
   void splitAt(KeyRange keys) {
     List<LeasedRange> cut = new ArrayList<>();
     for (LeasedRange leased : ranges) {
@@ -74,7 +75,7 @@
     ranges = cut;
   }
 
-  /** Joins neighbours of one owner on which nothing is under way. */
+  /** Merges adjacent settled ranges of one owner. */
   void mergeAdjacentRanges(long nowMs, LongSupplier tokens) {
     List<LeasedRange> joined = new ArrayList<>();
     for (LeasedRange leased : ranges) {
@@ -93,7 +94,7 @@
     ranges = joined;
   }
 
-  /** Returns the ranges whose owner must not have them any longer. */
+  /** Returns the ranges whose owner may no longer own keys. */
   List<KeyRange> withUnusableOwner(Predicate<TargetId> usable) {
     List<KeyRange> result = new ArrayList<>();
     for (LeasedRange leased : ranges) {
@@ -104,7 +105,7 @@
     return result;
   }
 
-  /** Returns the ranges of each owner on which nothing is under way, or the others. */
+  /** Returns the settled ranges of each owner, or those that are not settled. */
   Map<TargetId, List<KeyRange>> byOwner(boolean settled, long nowMs) {
     Map<TargetId, List<KeyRange>> result = new HashMap<>();
     for (LeasedRange leased : ranges) {
@@ -115,7 +116,7 @@
     return result;
   }
 
-  /** Returns what is to be stored. */
+  /** Returns the assignments to store. */
   List<RangeAssignment> assignments(long nowMs) {
     List<RangeAssignment> assignments = new ArrayList<>();
     for (LeasedRange leased : ranges) {
@@ -130,7 +131,7 @@
     return assignments;
   }
 
-  /** Returns where requests go; neighbours for which the same holds are one route. */
+  /** Returns the routes; adjacent ranges with the same properties are combined into one. */
   List<RangeRoute> routes(ToIntFunction<KeyRange> refusedPercent) {
     List<RangeRoute> routes = new ArrayList<>();
     for (LeasedRange leased : ranges) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/OrderOutcome.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/OrderOutcome.java
@@ -1,21 +1,24 @@
 package io.cuminvalve.core.lease;
 
 /**
- * How an order to a target ended.
+ * The outcome of an order to a target.
  *
  * @since 0.2
  */
 public enum OrderOutcome {
-  /** The target carried it out. */
+  /** The target carried the order out. */
   DONE,
-  /** The target knows a higher token for one of the keys. */
+  /** The target refused it because it knows a higher token for one of the keys. */
   STALE,
-  /** The target answered that it cannot carry it out. */
+  /** The target answered that it cannot carry the order out. */
   REJECTED,
-  /** Another run answered at the target's address, and did nothing: the one meant has ended. */
+  /**
+   * Another target answered at the address and did not carry the order out: the addressed target has
+   * terminated.
+   */
   OTHER_TARGET,
-  /** No byte of it was sent. */
+  /** No byte of the order was sent. */
   NOT_SENT,
-  /** It may have been sent, and there was no answer: it may be carried out later. */
+  /** It may have been sent but got no answer: it may still be carried out later. */
   UNANSWERED
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/OwnershipRecord.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/OwnershipRecord.java
@@ -9,18 +9,18 @@
 import java.util.function.Function;
 
 /**
- * All assignments, as the store keeps them.
+ * All assignments, as persisted in the store.
  *
- * <p>Addresses are kept because the next holder of the term may never see a target listed that has
- * ended meanwhile. Whoever answers at its address proves that it has ended, or releases its keys;
- * without an address they stay closed for the longest lease of any earlier holder, 20 s, and as
- * long again if that holder is replaced too.
+ * <p>Addresses are included because a target that has terminated may never be registered while the
+ * next term holder runs. An answer at its address either proves that it has terminated or releases
+ * its keys. Without an address the keys stay closed for the longest lease of any earlier term
+ * holder, 20 s, and again for as long if that term holder is replaced too.
  *
- * @param term the term of the holder that wrote it
+ * @param term the term in which the record was written
  * @param tables one for each service with keys; not null
- * @param addresses of all targets that the tables name, as far as they are known; not null
- * @param storeEpoch the epoch of the store in which it was written: in a later one, moves that were
- *     written after it may be lost; 0 if the store tells of none
+ * @param addresses the known addresses of the targets in the tables; not null
+ * @param storeEpoch the epoch of the store in which the record was written; in a later epoch, moves
+ *     written after this record may be lost; 0 if the store reports no epoch
  * @since 0.2
  */
 public record OwnershipRecord(
@@ -33,12 +33,12 @@
   }
 
   /**
-   * Creates a record with the addresses of the targets that its tables name.
+   * Creates a record with the addresses of the targets in its tables.
    *
-   * @param term the term of the holder that writes it
+   * @param term the term in which the record is written
    * @param tables one for each service with keys; not null
-   * @param addressOf finds the address of a target; not null
-   * @param storeEpoch the epoch of the store in which it is written; 0 if it tells of none
+   * @param addressOf returns the address of a target; not null
+   * @param storeEpoch the current epoch of the store; 0 if the store reports none
    * @return never null
    */
   public static OwnershipRecord of(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/OwnershipTable.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/OwnershipTable.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * The assignments of one service.
+ * The assignments of all keys of one service.
  *
  * @param service the service; not null
- * @param assignments in the order of keys, covering all of them; not null
+ * @param assignments in the order of keys, covering every key; not null
  * @since 0.2
  */
 public record OwnershipTable(ServiceId service, List<RangeAssignment> assignments) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/PreviousOwner.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/PreviousOwner.java
@@ -1,15 +1,18 @@
 package io.cuminvalve.core.lease;
 
-/** What is known of a target that may still hold a range which another one is to get. */
+/** The leases of a target that may still hold a range that was assigned to another target. */
 final class PreviousOwner {
 
-  /** What this holder granted it, without the grant in flight. */
+  /** The leases that this term holder granted, without the grant in flight. */
   private GrantedLeases leases;
 
-  /** Until when the grant may be in force that was in flight at the move; 0 if it has ended. */
+  /**
+   * Until when the lease of the grant that was in flight at the move may be in force; 0 if that
+   * grant has ended.
+   */
   private long inFlightUntilMs;
 
-  /** Until when a lease of it may be in force that earlier holders granted. */
+  /** Until when a lease that earlier term holders granted may be in force. */
   private long foreignUntilMs;
 
   /** Until when a grant that got no answer may still be carried out. */
@@ -38,7 +41,7 @@
     return copy;
   }
 
-  /** Returns what holds for both of two that turn out to be the same target. */
+  /** Returns the combined state of two entries that turn out to be the same target. */
   PreviousOwner mergedWith(PreviousOwner other) {
     return new PreviousOwner(
         leases.mergedWith(other.leases),
@@ -47,16 +50,19 @@
         Math.max(unansweredUntilMs, other.unansweredUntilMs));
   }
 
-  /** A new token is in use: what was answered under the one before no longer counts. */
-  void restart() {
+  /** Starts the release again under a new token; answers to earlier releases no longer count. */
+  void restartRelease() {
     released = false;
     releaseInFlight = false;
     nextReleaseMs = 0;
   }
 
-  /** Its next run stands in for it. Answers to orders for the run before are not waited for. */
+  /**
+   * Attributes the leases to the next run of the target. Answers to orders for the earlier run are
+   * no longer awaited.
+   */
   void onRestarted() {
-    restart();
+    restartRelease();
     if (inFlightUntilMs > 0) {
       leases = leases.withUnobserved(inFlightUntilMs);
       inFlightUntilMs = 0;
@@ -67,7 +73,7 @@
     return untilMs() <= nowMs || (released && unansweredUntilMs <= nowMs);
   }
 
-  /** Returns until when any lease of it may be in force. */
+  /** Returns until when any of its leases may be in force. */
   long untilMs() {
     return Math.max(Math.max(leases.untilMs(), inFlightUntilMs), foreignUntilMs);
   }
@@ -100,7 +106,7 @@
     nextReleaseMs = nextMs;
   }
 
-  /** The grant that was in flight at the move has ended. */
+  /** Handles the outcome of the grant that was in flight at the move. */
   void onGrantEnded(OrderOutcome outcome, long nowMs) {
     boolean carriedOut = outcome == OrderOutcome.DONE || outcome == OrderOutcome.UNANSWERED;
     if (carriedOut && inFlightUntilMs > 0) {
@@ -112,7 +118,12 @@
     }
   }
 
-  /** Another target answered to an order for this one that was sent then. */
+  /**
+   * Drops the leases that cannot be in force any longer because another target answered to an order
+   * for this one.
+   *
+   * @param sentMs when the order was sent
+   */
   void onOtherTarget(long sentMs) {
     leases = leases.withoutGrantsEndedBefore(sentMs);
     foreignUntilMs = 0;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/RangeAssignment.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/RangeAssignment.java
@@ -5,14 +5,15 @@
 import java.util.OptionalLong;
 
 /**
- * Who is to own a range, as written to the store before anything is granted.
+ * The assignment of a range to its owner, as written to the store before the lease is granted.
  *
  * @param firstKey the lowest key
- * @param lastKey the highest key, which belongs to the range
- * @param owner the target that is to own it; not null
- * @param previousOwners targets that may still hold it; not null, empty once they are proved not to
- * @param bounds for how long they may; a target without a bound may for as long as any lease of an
- *     earlier holder runs; not null
+ * @param lastKey the highest key, inclusive
+ * @param owner the target that the range is assigned to; not null
+ * @param previousOwners the targets that may still hold the range; empty once all are known to hold
+ *     it no longer; not null
+ * @param bounds how long the previous owners may hold it; a target without a bound may hold it for
+ *     the longest lease that an earlier term holder could have granted; not null
  * @since 0.2
  */
 public record RangeAssignment(
@@ -29,10 +30,10 @@
   }
 
   /**
-   * Returns for how long a previous owner may still hold the keys.
+   * Returns how long a previous owner may still hold the range.
    *
    * @param target the previous owner; not null
-   * @return counted from when this was written; empty if it is not known; milliseconds
+   * @return milliseconds since this assignment was written; empty if not known
    */
   public OptionalLong leftMs(TargetId target) {
     return bounds.stream()
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/RangeRoutes.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/RangeRoutes.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * Compares and patches lists of routes.
+ * Computes and applies differences between route lists.
  *
- * <p>A list is in the order of keys and has no overlaps.
+ * <p>Route lists are ordered by key and do not overlap.
  *
  * @since 0.2
  */
@@ -17,14 +17,14 @@
   private RangeRoutes() {}
 
   /**
-   * Finds what has to be laid over a list so that it routes like another one.
+   * Returns the routes that have to be applied to a list so that it routes like another one.
    *
-   * <p>A key that goes elsewhere cannot lie in a range that stands in both lists, so the ranges
-   * that stand in the later list alone hold every such key.
+   * <p>A key whose route differs cannot lie in a route that both lists contain. The routes that only
+   * the later list contains therefore cover every such key.
    *
    * @param before the earlier list; not null
-   * @param after the later list, with a range for every key of the earlier one; not null
-   * @return the ranges to lay over it; never null
+   * @param after the later list, which covers every key of the earlier one; not null
+   * @return the routes to pass to {@link #overlay}; never null
    */
   public static List<RangeRoute> changes(List<RangeRoute> before, List<RangeRoute> after) {
     Set<RangeRoute> known = new HashSet<>(before);
@@ -34,11 +34,11 @@
   }
 
   /**
-   * Lays ranges over a list.
+   * Applies changed routes to a list.
    *
    * @param base the list; not null
-   * @param changes the ranges to lay over it; not null
-   * @return the patched list; never null
+   * @param changes the routes that replace those of the base for their keys; not null
+   * @return the resulting list; never null
    */
   public static List<RangeRoute> overlay(List<RangeRoute> base, List<RangeRoute> changes) {
     List<RangeRoute> result = new ArrayList<>(base.size() + changes.size());
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/TargetAddress.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/TargetAddress.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.core.id.TargetId;
 
 /**
- * Where a target was reached last.
+ * The last known address of a target.
  *
  * @param target the target; not null
  * @param address IP address and port; not null
