--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/GrantedLeases.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/GrantedLeases.java
@@ -6,9 +6,10 @@
 /**
  * The leases on one range that one term holder granted to one owner. Immutable.
  *
- * <p>The answer to a grant does not identify the run of the owner that sent it. A lease is therefore
- * void before its expiry only if another target answers at the owner's address to an order that was
- * sent after the grant had ended: whichever run accepted the grant has terminated by then.
+ * <p>The answer to a grant does not identify the run of the owner that sent it. A lease is
+ * therefore void before its expiry only if another target answers at the owner's address to an
+ * order that was sent after the grant had ended: whichever run accepted the grant has terminated by
+ * then.
  */
 final class GrantedLeases {
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
@@ -222,8 +222,8 @@
 
   /**
    * Handles a report that a target has terminated. The report alone ends no lease: it may be late,
-   * and the next run under the same name may have accepted grants since. Orders to the target become
-   * due at once, and an answer from another target proves that it has terminated.
+   * and the next run under the same name may have accepted grants since. Orders to the target
+   * become due at once, and an answer from another target proves that it has terminated.
    *
    * @param id the target; not null
    */
@@ -234,9 +234,10 @@
   /**
    * Handles the restart of a target under the same name.
    *
-   * <p>The new run holds none of the earlier leases, but orders for the earlier run may have reached
-   * it. Leases of the earlier run are therefore attributed to the new run, which can be reached: it
-   * is granted its ranges again at once under a higher token, or is asked to release them.
+   * <p>The new run holds none of the earlier leases, but orders for the earlier run may have
+   * reached it. Leases of the earlier run are therefore attributed to the new run, which can be
+   * reached: it is granted its ranges again at once under a higher token, or is asked to release
+   * them.
    *
    * @param run the current run; not null
    * @return whether any lease was attributed to it
@@ -251,8 +252,8 @@
   }
 
   /**
-   * Sets whether the store is unavailable. When an outage begins, all leases become due for
-   * renewal at once; during the outage they are granted for longer.
+   * Sets whether the store is unavailable. When an outage begins, all leases become due for renewal
+   * at once; during the outage they are granted for longer.
    *
    * @param now true while the store does not answer
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Returns whether the range is open and no order is in flight or may still be carried out, so that
-   * it can be moved without waiting for an earlier move.
+   * Returns whether the range is open and no order is in flight or may still be carried out, so
+   * that it can be moved without waiting for an earlier move.
    */
   boolean isSettled(long nowMs) {
     return isOpen() && !stale && !grantInFlight && unansweredUntilMs <= nowMs;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/OrderOutcome.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/OrderOutcome.java
@@ -13,8 +13,8 @@
   /** The target answered that it cannot carry the order out. */
   REJECTED,
   /**
-   * Another target answered at the address and did not carry the order out: the addressed target has
-   * terminated.
+   * Another target answered at the address and did not carry the order out: the addressed target
+   * has terminated.
    */
   OTHER_TARGET,
   /** No byte of the order was sent. */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/RangeRoutes.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/RangeRoutes.java
@@ -19,8 +19,8 @@
   /**
    * Returns the routes that have to be applied to a list so that it routes like another one.
    *
-   * <p>A key whose route differs cannot lie in a route that both lists contain. The routes that only
-   * the later list contains therefore cover every such key.
+   * <p>A key whose route differs cannot lie in a route that both lists contain. The routes that
+   * only the later list contains therefore cover every such key.
    *
    * @param before the earlier list; not null
    * @param after the later list, which covers every key of the earlier one; not null
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DepartureTrackerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DepartureTrackerTest.java
@@ -13,7 +13,7 @@
   private final DepartureTracker tracker = new DepartureTracker();
 
   @Test
-  void tellsWhatIsNewsOnce() {
+  void eachDepartureIsNewOnce() {
     assertThat(tracker.add(TARGET, 1_000)).isTrue();
     assertThat(tracker.add(TARGET, 2_000)).isFalse();
     assertThat(tracker.merge(new DepartureReport(TARGET, 5_000), 3_000)).isFalse();
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void reportsHowLongAgoItWasSaidFirst() {
+  void reportsTheAgeOfTheFirstNotice() {
     tracker.add(TARGET, 10_000);
     tracker.merge(new DepartureReport(TARGET, 3_000), 11_000);
     tracker.add(TARGET, 12_000);
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void whoKnowsTheSameHasTheSameDigest() {
+  void sameDeparturesGiveTheSameDigest() {
     final DepartureTracker other = new DepartureTracker();
     assertThat(tracker.digest()).isEqualTo(0);
     tracker.add(TARGET, 1_000);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DeputySelectorTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DeputySelectorTest.java
@@ -13,14 +13,14 @@
 class DeputySelectorTest {
 
   @Test
-  void allOfNarrowFleetAreDeputies() {
+  void allGatewaysOfSmallFleetAreDeputies() {
     List<String> chosen =
         DeputySelector.choose(List.of(candidate("a", "x", 0.6), candidate("b", "y", 0.6)));
     assertThat(chosen).containsExactly("a", "b");
   }
 
   @Test
-  void nobodyIsChosenFromNobody() {
+  void noCandidatesGiveNoDeputies() {
     assertThat(DeputySelector.choose(List.of())).isEmpty();
   }
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/TargetRegisterTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/TargetRegisterTest.java
@@ -13,7 +13,7 @@
   private final TargetRegister register = new TargetRegister();
 
   @Test
-  void theSignOfLifeChangesNothing() {
+  void renewedRegistrationChangesNothing() {
     assertThat(register.put(target("a", TargetPhase.READY, 3_000))).isTrue();
     assertThat(register.put(target("a", TargetPhase.READY, 1_000))).isFalse();
     assertThat(register.version()).isEqualTo(1);
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void theLateWordOfAnEarlierRunChangesNothing() {
+  void lateUpdateOfAnEarlierRunChangesNothing() {
     register.put(target("a@20", TargetPhase.READY, 0));
     assertThat(register.put(target("a@10", TargetPhase.DRAINING, 0))).isFalse();
     assertThat(register.find(new TargetId("a@20")).orElseThrow().isReady()).isTrue();
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The host of a holder is suspended for longer than any lease runs. Meanwhile the next holder takes
- * over; it cannot reach one of the targets, and gives that one's keys away once its leases have run
- * out.
+ * Suspends the host of a term holder for longer than any lease. Meanwhile the next term holder
+ * takes over; it cannot reach one of the targets and reassigns that target's keys once its leases
+ * have expired.
  */
 class HiddenSuspensionTest {
 
@@ -19,7 +19,7 @@
   private static final long SUSPENDED_MS = 25_000;
   private static final long AFTERWARDS_MS = 5_000;
 
-  /** Renewals are sent so often: the suspension begins at any moment between two of them. */
+  /** The renewal interval: the suspension begins at a random time within it. */
   private static final long RENEWED_EVERY_MS = 1_000;
 
   private static final long SEEDS = 50;
@@ -30,8 +30,9 @@
   }
 
   /**
-   * Guards against two owners after a suspension during which the time of day is set back by as
-   * much: no clock of the host shows it, so the holder renews leases that have run out.
+   * Guards against two owners after a suspension during which the wall clock is set back by the
+   * same amount: no clock of the host shows the suspension, so the term holder renews expired
+   * leases.
    */
   @Test
   void suspensionsThatStepsBackHideStopTheHolder() {
@@ -46,7 +47,7 @@
     assertWithMessage("violations in %s schedules", SEEDS).that(broken).isEmpty();
   }
 
-  /** A holder whose host is suspended, and the next one. */
+  /** A schedule with a term holder whose host is suspended, and its successor. */
   private static final class Suspension {
 
     private final VirtualTime time;
@@ -63,7 +64,7 @@
       final SimulatedTermHolder first = addHolder();
       pass(SETTLE_MS + time.nextMs(0, RENEWED_EVERY_MS));
       final SimulatedTarget owner = fleet.running().get(0);
-      // While it is suspended nobody reads its clocks.
+      // Its clocks are not read while the host is suspended.
       first.loseTerm(false);
       first.clock().suspend(SUSPENDED_MS);
       first.clock().setTimeOfDay(stepMs);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HostClock.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HostClock.java
@@ -4,15 +4,15 @@
 import io.cuminvalve.kernel.SuspensionClock;
 import io.cuminvalve.kernel.UpperTime;
 
-/** The clock of one host over virtual time: its time of day is set, and it is suspended. */
+/** The clock of a simulated host, whose wall clock can be stepped and which can be suspended. */
 final class HostClock implements MillisClock {
 
   private final VirtualTime time;
   private final SuspensionClock clock;
   private long offsetMs;
   private long suspendedMs;
-  private long sleepsSinceMs;
-  private long sleepsUntilMs;
+  private long suspendedFromMs;
+  private long suspendedUntilMs;
   private boolean clockGained;
 
   HostClock(VirtualTime time) {
@@ -22,7 +22,7 @@
   }
 
   private long steadyMs() {
-    return time.nowMs() - suspendedMs - (isAsleep() ? time.nowMs() - sleepsSinceMs : 0);
+    return time.nowMs() - suspendedMs - (isSuspended() ? time.nowMs() - suspendedFromMs : 0);
   }
 
   private long timeOfDayMs() {
@@ -39,34 +39,37 @@
     return clock.upper();
   }
 
-  /** The time of day is set ahead, or back if it is negative. */
+  /** Steps the wall clock forward, or back if the step is negative. */
   void setTimeOfDay(long byMs) {
     offsetMs += byMs;
   }
 
-  /** The host stands still from now on. */
+  /** Suspends the host from now on, unless it is suspended already. */
   void suspend(long forMs) {
-    if (!isAsleep()) {
-      sleepsSinceMs = time.nowMs();
-      sleepsUntilMs = time.nowMs() + forMs;
+    if (!isSuspended()) {
+      suspendedFromMs = time.nowMs();
+      suspendedUntilMs = time.nowMs() + forMs;
       time.schedule(forMs, () -> suspendedMs += forMs);
     }
   }
 
-  boolean isAsleep() {
-    return time.nowMs() < sleepsUntilMs;
+  boolean isSuspended() {
+    return time.nowMs() < suspendedUntilMs;
   }
 
-  /** Runs something now, or when the host wakes up. */
+  /** Runs an action now, or when the host resumes. */
   void runWhenAwake(Runnable action) {
-    if (isAsleep()) {
-      time.schedule(sleepsUntilMs - time.nowMs(), action);
+    if (isSuspended()) {
+      time.schedule(suspendedUntilMs - time.nowMs(), action);
     } else {
       action.run();
     }
   }
 
-  /** Tells, once, whether the time of day has clockGained: the host may have been suspended. */
+  /**
+   * Returns, once per occurrence, whether the wall clock has gained on the steady clock: the host
+   * may have been suspended.
+   */
   boolean takeClockGain() {
     clock.upper();
     boolean taken = clockGained;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Leases at targets while the time of day of the holder's host is set. */
+/** Checks leases while the wall clock of the term holder's host is stepped. */
 class LeaseClockTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
@@ -42,7 +42,7 @@
                     (LeaseOrder.Grant) order, OrderOutcome.DONE, clock.nowMs(), clock.nowMs()));
   }
 
-  /** Guards against keys that are granted to a second target since the time of day was set. */
+  /** Guards against keys that are granted to a second target after a step of the wall clock. */
   @Test
   void leasesRunOnWhenTheTimeOfDayIsSetAhead() {
     manager.move(FIRST_KEYS, B, clock.nowMs());
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseInvariants.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseInvariants.java
@@ -7,10 +7,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Looks at what runs of targets hold, and keeps the first violation of each promise. */
+/**
+ * Checks the leases that runs of targets hold and records the first violation of each invariant.
+ */
 final class LeaseInvariants {
 
-  /** What must not happen. */
+  /** The invariant that was violated. */
   enum Violation {
     TWO_OWNERS,
     TOKEN_NOT_ABOVE_THAT_OF_ANOTHER_RUN,
@@ -24,17 +26,20 @@
     services.forEach(service -> owned.put(service, new OwnedKeys(service)));
   }
 
-  /** Returns the first violation of each kind; empty if all invariants were kept. */
+  /** Returns the first violation of each kind; empty if there was none. */
   Map<Violation, String> violations() {
     return violations;
   }
 
-  /** Returns how many keys of each service had an owner at most at one time, the least of all. */
+  /**
+   * Returns the maximum number of sampled keys that had an owner at the same time, for the service
+   * with the lowest maximum.
+   */
   int maxOwnedKeys() {
     return owned.values().stream().mapToInt(keys -> keys.maxOwnedKeys).min().orElse(0);
   }
 
-  /** A run has carried out a grant; perhaps so late that it holds nothing by it. */
+  /** Records a grant that a run carried out, perhaps after its lease had expired. */
   void onGranted(SimulatedTarget run, LeaseOrder.Grant grant, long nowMs) {
     for (int sample = 0; sample < SimulatedTarget.SAMPLES; sample++) {
       if (grant.range().contains(sample * SimulatedTarget.STEP) && run.holds(sample, nowMs)) {
@@ -43,7 +48,7 @@
     }
   }
 
-  /** Looks at every key. */
+  /** Checks every sampled key. */
   void check(Collection<SimulatedTarget> runs, long nowMs) {
     owned.values().forEach(keys -> keys.check(runs, nowMs));
   }
@@ -52,7 +57,7 @@
     violations.putIfAbsent(violation, nowMs + " ms: " + message);
   }
 
-  /** The keys of one service. */
+  /** The sampled keys of one service. */
   private final class OwnedKeys {
 
     private final ServiceId service;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseManagerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseManagerTest.java
@@ -86,7 +86,7 @@
     assertThat(manager.routes().get(0).open()).isTrue();
   }
 
-  /** The record that was read is older than moves that were made: any target may hold any key. */
+  /** The record that was read lacks later moves, so any target may hold any key. */
   @Test
   void whileOwnersAreUnknownNothingIsGrantedOrAsked() {
     LeaseManager next = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void withoutAnAnswerTheLeaseHasToRunOut() {
+  void releaseThatWasNotSentWaitsForTheLeaseToExpire() {
     LeaseOrder.Release release = moveFirstKeysToB();
     manager.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), 150);
     long endsMs = TIMINGS.boundMs(TIMINGS.leaseMs());
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void theGrantThatMayStillBeCarriedOutIsWaitedFor() {
+  void unansweredGrantDelaysTheNextOwner() {
     LeaseOrder.Grant renewal = (LeaseOrder.Grant) grantsTo(A, due(1_000)).get(0);
     manager.onGrantEnded(renewal, OrderOutcome.UNANSWERED, 1_000, 1_100);
     LeaseOrder.Release release = moveFirstKeysToB();
@@ -119,9 +119,9 @@
     assertThat(grantsTo(B, due(endsMs))).hasSize(1);
   }
 
-  /** One answer is enough for all ranges of the target, whatever became of other releases. */
+  /** One answer applies to all ranges of the target, whatever the outcome of other releases. */
   @Test
-  void anotherTargetInItsPlaceEndsEveryLeaseGrantedBefore() {
+  void answerOfAnotherTargetEndsEveryEarlierLease() {
     manager.move(FIRST_KEYS, B, 100);
     manager.move(KeyRange.ALL, B, 100);
     manager.onWritten(manager.version());
@@ -132,9 +132,9 @@
     assertThat(grantsTo(B, due(101))).hasSize(1);
   }
 
-  /** The next run of the target's name may have taken grants before the news came. */
+  /** The next run under the target's name may have accepted grants before the notice arrived. */
   @Test
-  void newsThatTheTargetHasEndedEndsNoLease() {
+  void terminationNoticeEndsNoLease() {
     LeaseOrder.Release release = moveFirstKeysToB();
     manager.onGone(A);
     manager.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), 150);
@@ -144,9 +144,9 @@
     assertThat(grantsTo(B, due(endsMs))).hasSize(1);
   }
 
-  /** Who answers then proves it within milliseconds. */
+  /** The answer shows within milliseconds whether the target has terminated. */
   @Test
-  void newsThatTheTargetHasEndedIsLookedIntoAtOnce() {
+  void terminationNoticeMakesOrdersDueAtOnce() {
     LeaseOrder.Release release = moveFirstKeysToB();
     manager.onReleaseEnded(release, OrderOutcome.NOT_SENT, Optional.empty(), 150);
     assertThat(due(151)).isEmpty();
@@ -154,9 +154,9 @@
     assertThat(due(151)).isNotEmpty();
   }
 
-  /** An order that is looked at late proves nothing of a grant that ended after it was sent. */
+  /** An order proves nothing about a grant that ended after the order was sent. */
   @Test
-  void anotherTargetInItsPlaceEndsNoLeaseGrantedSince() {
+  void answerOfAnotherTargetEndsNoLaterLease() {
     LeaseOrder.Release release = moveFirstKeysToB();
     LeaseOrder.Grant other =
         (LeaseOrder.Grant)
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void theRenewalThatMeetsAnotherRunProvesThatTheOwnerHasEnded() {
+  void renewalAnsweredByAnotherRunProvesThatTheOwnerHasEnded() {
     LeaseOrder.Grant renewal = (LeaseOrder.Grant) grantsTo(A, due(1_000)).get(0);
     manager.onGrantEnded(renewal, OrderOutcome.OTHER_TARGET, 1_000, 1_010);
     assertThat(manager.routes().get(0).open()).isFalse();
@@ -182,14 +182,14 @@
   }
 
   @Test
-  void theReleaseThatMeetsAnotherRunFreesTheKeys() {
+  void releaseAnsweredByAnotherRunFreesTheKeys() {
     LeaseOrder.Release release = moveFirstKeysToB();
     manager.onReleaseEnded(release, OrderOutcome.OTHER_TARGET, Optional.empty(), 150);
     assertThat(grantsTo(B, due(150))).hasSize(1);
   }
 
   @Test
-  void onlyTheGrantThatOpensKeysSaysSo() {
+  void onlyTheOpeningGrantReportsThatItOpenedKeys() {
     LeaseOrder.Release release = moveFirstKeysToB();
     manager.onReleaseEnded(release, OrderOutcome.DONE, Optional.empty(), 150);
     LeaseOrder.Grant grant = (LeaseOrder.Grant) grantsTo(B, due(150)).get(0);
@@ -236,7 +236,7 @@
   }
 
   @Test
-  void theHolderBeforeMayTellThatNothingIsLeft() {
+  void previousTermHolderMayLimitForeignLeases() {
     LeaseManager next = new LeaseManager(SERVICE, TIMINGS, () -> 1_000 + ++tokens);
     next.takeOver(manager.table(0), 0, 20_000);
     next.move(FIRST_KEYS, B, 1_000);
@@ -249,7 +249,7 @@
   }
 
   @Test
-  void theTargetWithEnoughToDoIsAskedLater() {
+  void busyTargetsGetTheirOrdersLater() {
     assertThat(manager.due(1_000, target -> target.equals(B))).hasSize(1);
     assertThat(grantsTo(A, due(1_000))).hasSize(1);
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
@@ -9,20 +9,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What was seen: two runs of a target had the same keys under the same token.
+ * Guards against two runs of a target that hold the same keys under the same token.
  *
- * <p>How it came about: a target crashed, and another run started at its address a second later.
- * The registry still listed the ended run. The holder's renewal for that run reached the next one,
- * which knew no token yet and took it for a grant. The holder counted the renewal as done.
+ * <p>A target crashed, and another run started at its address a second later while the registry
+ * still listed the terminated run. The renewal for that run reached the next one, which knew no
+ * token yet and accepted it as a grant; the term holder counted the renewal as done. Orders went to
+ * an address without naming their target, so neither side could detect the mistake. Simulations
+ * that deliver orders by target id cannot reproduce this.
  *
- * <p>Cause: orders went to an address and did not say for which run they were. A run could not tell
- * that it was another one, and the holder believed an answer that was not that of its target. The
- * generated schedules missed it: there, orders were delivered by the target's id.
- *
- * <p>Proof: the same schedule with orders that name no target broke the promise, and still breaks
- * the one on keys of another service whose run takes the address; with orders that name it nothing
- * is broken. Since then each grant has a token of its own: where the next run has the same name,
- * that alone keeps the promise.
+ * <p>Orders therefore name their target, and each grant carries a new token, which alone protects
+ * against a next run under the same name. Without the target's name, a run of another service that
+ * takes the address still accepts keys of the wrong service.
  */
 class LeaseRestartTest {
 
@@ -30,12 +27,12 @@
   private static final ServiceId OTHER_SERVICE = SimulatedFleet.SERVICES.get(1);
   private static final long STEP_MS = 25;
 
-  /** Users expect keys of a lost target to be served again within this time. */
-  private static final long WITHIN_MS = 1_000;
+  /** The time within which keys of a lost target have to be served again. */
+  private static final long MAX_UNAVAILABLE_MS = 1_000;
 
   private static final long LISTED_FOR_MS = 6_000;
 
-  /** No name tells two runs apart that have the same one; then the token still does. */
+  /** The name does not distinguish two runs with the same name, but the token does. */
   @Test
   void renewalsThatReachTheNextRunHaveTokensAboveThoseOfTheRunBefore() {
     LeaseInvariants invariants = restart(SERVICE, false);
@@ -64,7 +61,7 @@
     }
     assertThat(invariants.violations()).isEmpty();
     assertThat(next.isEnded()).isFalse();
-    assertThat(waitedMs).isAtMost(WITHIN_MS);
+    assertThat(waitedMs).isAtMost(MAX_UNAVAILABLE_MS);
   }
 
   private static int anyHeldBy(SimulatedTarget owner, VirtualTime time) {
@@ -94,7 +91,7 @@
     assertThat(restart(OTHER_SERVICE, true).violations()).isEmpty();
   }
 
-  /** An owner ends, another run has its address at once; the holder learns it from nobody. */
+  /** Replaces an owner by another run at its address without a notice to the term holder. */
   private static LeaseInvariants restart(ServiceId nextService, boolean ordersNameTarget) {
     VirtualTime time = new VirtualTime(1);
     SimulatedFleet fleet = new SimulatedFleet(time, ended -> {});
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleSweepTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleSweepTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs generated schedules of faults one seed after the other, with all combinations of what may
- * come beside crashes, restarts, cuts and lost holders.
+ * Runs fault schedules for consecutive seeds, in all combinations of the optional faults. Crashes,
+ * restarts, partitions and lost term holders occur in every schedule.
  *
- * <p>A longer run: {@code mvn -pl cuminvalve-core -am test -Dtest=LeaseScheduleSweepTest
+ * <p>For a longer run: {@code mvn -pl cuminvalve-core -am test -Dtest=LeaseScheduleSweepTest
  * -Dsurefire.failIfNoSpecifiedTests=false -Dcuminvalve.leaseSchedules=100000
- * -Dcuminvalve.firstLeaseSeed=1}. It takes one thread, or as many as {@code
- * -Dcuminvalve.leaseThreads} says; each seed gives the same schedule either way. One of the two
- * sweeps alone: {@code -Dtest=LeaseScheduleSweepTest#noKeyHasTwoOwnersInAnySchedule}.
+ * -Dcuminvalve.firstLeaseSeed=1}. It uses one thread, or the number in {@code
+ * -Dcuminvalve.leaseThreads}; a seed always gives the same schedule. To run only one of the two
+ * sweeps: {@code -Dtest=LeaseScheduleSweepTest#noKeyHasTwoOwnersInAnySchedule}.
  */
 class LeaseScheduleSweepTest {
 
@@ -28,7 +28,7 @@
   private static final long DEFAULT_FIRST_SEED = 1;
   private static final int DEFAULT_THREADS = 1;
 
-  /** Names used again, older stores, clock faults: each with and without the others. */
+  /** Reused names, store rollbacks and clock faults, each with and without the others. */
   private static final int COMBINATIONS = 8;
 
   @Test
@@ -36,9 +36,9 @@
     sweep(seed -> violationsIn(simulationFor(seed), seed));
   }
 
-  /** The same seeds; the news of each end is told again, and so the schedules are others. */
+  /** Uses the same seeds; the repeated termination notices make the schedules differ. */
   @Test
-  void noKeyHasTwoOwnersThoughNewsIsToldAgain() throws ExecutionException, InterruptedException {
+  void noKeyHasTwoOwnersWithRepeatedNotices() throws ExecutionException, InterruptedException {
     sweep(seed -> violationsIn(simulationFor(seed).withRepeatedNotices(), seed));
   }
 
@@ -58,7 +58,7 @@
                           .flatMap(Optional::stream)
                           .toList())
               .get();
-      assertWithMessage("schedules that break a promise").that(broken).isEmpty();
+      assertWithMessage("schedules that violate an invariant").that(broken).isEmpty();
     } finally {
       pool.shutdown();
     }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
@@ -14,9 +14,9 @@
 import net.jqwik.api.Property;
 
 /**
- * Runs generated schedules of faults against holders and targets of two services.
+ * Runs generated fault schedules against term holders and the targets of two services.
  *
- * <p>Orders go to addresses. {@link LeaseRestartTest} tells why that matters.
+ * <p>Orders are delivered by address; {@link LeaseRestartTest} shows a failure that depends on it.
  */
 class LeaseScheduleTest {
 
@@ -34,13 +34,13 @@
   }
 
   /**
-   * Seen: in a schedule with many changes of the holder, no more than 5 of 16 keys of a service
-   * were owned at once in a minute.
+   * Guards against keys that stay closed when the term holder changes often: in this schedule, no
+   * more than 5 of the 16 sampled keys of a service had an owner at any time in a minute.
    *
-   * <p>How: nearly all others waited for a previous owner that had ended. A holder that never saw
-   * that target listed had no address to ask, so it waited for the longest lease of any earlier
-   * holder, 20 s, and so did the next one from its own start. Now addresses and what is left of
-   * that time are stored with the assignments.
+   * <p>Nearly all others waited for a previous owner that had terminated. A term holder that never
+   * saw that target registered had no address for the release, so it waited for the longest lease
+   * of any earlier term holder, 20 s, and its successor waited as long again. Addresses and the
+   * remaining time are therefore stored with the assignments.
    */
   @Example
   void keysOfEndedTargetsOpenAlthoughHoldersChangeOften() {
@@ -50,11 +50,11 @@
   }
 
   /**
-   * A target starts again under its name: what the holder sends to the run before reaches the next
-   * one, and neither can tell.
+   * Targets restart under the same name: orders for the earlier run reach the next one, and neither
+   * it nor the term holder can detect that.
    */
   @Property(tries = 150, seed = "11")
-  void noKeyHasTwoOwnersThoughNamesAreUsedAgain(@ForAll long seed) {
+  void noKeyHasTwoOwnersWithReusedNames(@ForAll long seed) {
     LeaseSimulation simulation = new LeaseSimulation(seed, true, true);
     simulation.run(DURATION_MS);
     assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
@@ -62,23 +62,23 @@
   }
 
   /**
-   * Seen: two targets held a key after the holder had learned that its owner had ended.
+   * Guards against two owners of a key after a notice that its owner has terminated.
    *
-   * <p>How: the news was late. The next run under the owner's name was at its address by then, and
-   * took a grant that was under way to the owner. The holder took all leases of the owner for void
-   * and gave the key to another target. Now grants that were sent since the owner was last found
-   * absent still count.
+   * <p>The notice was late: the next run under the owner's name was already at its address and
+   * accepted a grant that was in flight to the owner. The term holder regarded all leases of the
+   * owner as void and gave the key to another target. Grants sent since the owner was last found
+   * absent must still count.
    */
   @Example
-  void grantsUnderWayToAnEndedTargetMayReachTheNextRunOfItsName() {
+  void grantsInFlightToAnEndedTargetMayReachTheNextRunOfItsName() {
     LeaseSimulation simulation = new LeaseSimulation(1097, true, true);
     simulation.run(DURATION_MS);
     assertThat(simulation.invariants().violations()).isEmpty();
   }
 
-  /** Clocks of holders jump, and holders sleep and wake up as if nothing had happened. */
+  /** Wall clocks of term holders are stepped, and their hosts are suspended and resumed. */
   @Property(tries = 150, seed = "17")
-  void noKeyHasTwoOwnersThoughClocksAreSetAndHostsSuspended(@ForAll long seed) {
+  void noKeyHasTwoOwnersWithClockFaults(@ForAll long seed) {
     LeaseSimulation simulation = new LeaseSimulation(seed, true).withClockFaults();
     simulation.run(DURATION_MS);
     assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
@@ -86,46 +86,46 @@
     assertThat(simulation.clockSteps()).isGreaterThan(0);
   }
 
-  /** All of it at once: names that are used again, older stores, clocks, suspended hosts. */
+  /** Combines reused names, store rollbacks, clock steps and suspended hosts. */
   @Property(tries = 150, seed = "19")
-  void noKeyHasTwoOwnersWhateverComesTogether(@ForAll long seed) {
+  void noKeyHasTwoOwnersUnderCombinedFaults(@ForAll long seed) {
     LeaseSimulation simulation =
         new LeaseSimulation(seed, true, true).withStoreRollbacks(true).withClockFaults();
     simulation.run(DURATION_MS);
     assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
   }
 
-  /** Moves that were written are lost with the store, at times with the holder that made them. */
+  /** Store rollbacks lose written moves, in some cases together with the term holder. */
   @Property(tries = 150, seed = "13")
-  void noKeyHasTwoOwnersThoughTheStoreComesBackOlder(@ForAll long seed) {
+  void noKeyHasTwoOwnersAfterStoreRollbacks(@ForAll long seed) {
     LeaseSimulation simulation = new LeaseSimulation(seed, true).withStoreRollbacks(true);
     simulation.run(DURATION_MS);
     assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
   }
 
   /**
-   * Seen: two targets held a key within the first second.
+   * Guards against two owners of a key within the first second.
    *
-   * <p>How: the store came back from a copy that was made before the first record was written. The
-   * next holder found none, took the keys for new and dealt them out while the targets of the first
-   * one held them.
+   * <p>The store was restored from a copy made before the first record was written. The next term
+   * holder found no record, regarded the keys as unassigned and granted them while the targets of
+   * the first term holder still held them.
    */
   @Example
-  void missingRecordsOfAnEarlierEpochProveNothingEither() {
+  void missingRecordsOfAnEarlierEpochAreNoProof() {
     LeaseSimulation simulation = new LeaseSimulation(-13, true).withStoreRollbacks(true);
     simulation.run(DURATION_MS);
     assertThat(simulation.invariants().violations()).isEmpty();
   }
 
   /**
-   * Seen: two targets held a key, and a token went back.
+   * Guards against two owners of a key and decreasing tokens.
    *
-   * <p>How: a holder had been replaced and did not know. The store came back from a copy in which
-   * it still held the term, so it wrote its owners over those of the holder that had replaced it.
-   * Now only a holder that most gateways still follow writes.
+   * <p>A term holder had been replaced without noticing. The store was restored from a copy in
+   * which it still held the term, so it overwrote the assignments of its successor. Only a term
+   * holder that most gateways still follow may write.
    */
   @Example
-  void replacedHoldersDoNotComeBackWithTheStore() {
+  void replacedTermHoldersDoNotReturnAfterStoreRollbacks() {
     for (long seed : List.of(660260225259642700L, 755854500991624593L, -3462057721180242966L)) {
       LeaseSimulation simulation = new LeaseSimulation(seed, true).withStoreRollbacks(true);
       simulation.run(DURATION_MS);
@@ -134,19 +134,23 @@
   }
 
   /**
-   * Seen while these schedules were written: a holder went on that had read and not yet written.
+   * Guards against a term holder that continues after a store rollback although it has read the
+   * assignments but not yet written its own: others may have written in between.
    */
   @Example
-  void holdersThatHaveNotWrittenReadAgain() {
+  void termHoldersThatHaveNotWrittenReadAgain() {
     LeaseSimulation simulation =
         new LeaseSimulation(-3659396086863550127L, true, true).withStoreRollbacks(true);
     simulation.run(DURATION_MS);
     assertThat(simulation.invariants().violations()).isEmpty();
   }
 
-  /** The same check bites: whoever takes the older record for the newest breaks the promise. */
+  /**
+   * Verifies that the check detects violations: a term holder that trusts a record of an earlier
+   * epoch violates an invariant.
+   */
   @Example
-  void recordsOfAnEarlierEpochProveNothing() {
+  void recordsOfAnEarlierEpochAreNoProof() {
     int broken = 0;
     int lostRecords = 0;
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
@@ -160,29 +164,30 @@
   }
 
   /**
-   * The checks bite: without names each promise is broken, and some promise in all but one of the
-   * schedules. In that one (seed 4) each run that takes an order of another one is of the same
-   * service and gets a token above all that were used before, which breaks nothing.
+   * Verifies that the checks detect violations: if orders do not name their target, every invariant
+   * is violated, and at least one in each schedule but that of seed 4. There, each run that accepts
+   * an order for another one belongs to the same service and receives a token higher than all
+   * earlier ones, which violates nothing.
    */
   @Example
-  void ordersThatNameNoTargetBreakEveryPromise() {
+  void ordersThatNameNoTargetViolateEveryInvariant() {
     Set<Violation> seen = EnumSet.noneOf(Violation.class);
-    Set<Long> harmless = new HashSet<>();
+    Set<Long> seedsWithoutViolations = new HashSet<>();
     for (long seed = 0; seed < UNNAMED_SEEDS; seed++) {
       LeaseSimulation simulation = new LeaseSimulation(seed, false);
       simulation.run(DURATION_MS);
       if (simulation.invariants().violations().isEmpty()) {
-        harmless.add(seed);
+        seedsWithoutViolations.add(seed);
       }
       seen.addAll(simulation.invariants().violations().keySet());
     }
-    assertThat(harmless).containsExactly(4L);
+    assertThat(seedsWithoutViolations).containsExactly(4L);
     assertThat(seen).containsExactlyElementsIn(Violation.values());
   }
 
-  /** The option does what it says: each schedule tells news again, and names come back. */
+  /** Verifies that each schedule repeats notices and reuses names. */
   @Example
-  void newsIsToldAgainAndNamesComeBackAfterOthers() {
+  void noticesAreRepeatedAndNamesReusedAfterOthers() {
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
       LeaseSimulation simulation = new LeaseSimulation(seed, true, true).withRepeatedNotices();
       simulation.run(DURATION_MS);
@@ -196,7 +201,7 @@
    * one of them (seed 6) all those are grants: no release is due while another run has the address.
    */
   @Example
-  void everyTroubleComesUpAndOrdersReachOtherRuns() {
+  void everyFaultOccursAndOrdersReachOtherRuns() {
     Set<InjectedFault> seen = EnumSet.noneOf(InjectedFault.class);
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
       LeaseSimulation simulation = new LeaseSimulation(seed, true);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseSimulation.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseSimulation.java
@@ -6,15 +6,16 @@
 import java.util.Set;
 
 /**
- * Holders of the term, a store and targets of two services over virtual time.
+ * Simulates term holders, a store and the targets of two services in virtual time with injected
+ * faults.
  *
- * <p>A holder that is replaced goes on until it notices or its grace is over; one that gives up, as
- * another wrote before it, is replaced soon. Targets end and others take their addresses, at the
- * worst moments. {@link LeaseInvariants} are looked at in every step.
+ * <p>A replaced term holder continues until it notices or its grace period is over. One that stops
+ * because another has written before it is replaced soon. Targets terminate, and others start at
+ * their addresses, at critical moments. {@link LeaseInvariants} are checked after every step.
  */
 final class LeaseSimulation {
 
-  /** What goes wrong around the end of a run. */
+  /** Faults that are injected around the termination of a run. */
   enum InjectedFault {
     ONE_RESTARTS,
     MANY_RESTART,
@@ -25,12 +26,16 @@
 
   private static final long STEP_MS = 25;
 
-  private static final long CUT_MS = 15_000;
+  /** Maximum time for which a new term holder cannot reach one of the targets. */
+  private static final long MAX_PARTITION_MS = 15_000;
 
-  /** Longer than a sleeping holder's leases and its grace: it wakes up while nobody else asks. */
-  private static final long LONG_CUT_MS = 40_000;
+  /**
+   * Longer than the leases and the grace period of a suspended term holder, so that it may resume
+   * while its successor cannot reach the target.
+   */
+  private static final long MAX_LONG_PARTITION_MS = 40_000;
 
-  private static final long LONGEST_SLEEP_MS = 25_000;
+  private static final long MAX_SUSPENSION_MS = 25_000;
 
   private final VirtualTime time;
   private final boolean reusesNames;
@@ -49,12 +54,12 @@
   private boolean waitsForLostWrites = true;
   private int lostRecords;
 
-  /** Creates a simulation in which orders name their targets, or give nothing but an address. */
+  /** Creates a simulation in which orders name their target or only go to an address. */
   LeaseSimulation(long seed, boolean ordersNameTarget) {
     this(seed, ordersNameTarget, false);
   }
 
-  /** The same; targets may start again under the names that they had. */
+  /** Creates a simulation in which targets may also restart under the same name. */
   LeaseSimulation(long seed, boolean ordersNameTarget, boolean reusesNames) {
     time = new VirtualTime(seed);
     this.reusesNames = reusesNames;
@@ -62,22 +67,27 @@
     network = new SimulatedNetwork(time, fleet, invariants, ordersNameTarget);
   }
 
-  /** From now on the store comes back older at times, also as the holder is lost. */
+  /**
+   * Enables rollbacks of the store to an older copy, some of them together with the loss of the
+   * term holder.
+   *
+   * @param holdersWait whether term holders wait for leases of moves that the store may have lost
+   */
   LeaseSimulation withStoreRollbacks(boolean holdersWait) {
     storeRollbacks = true;
     waitsForLostWrites = holdersWait;
     return this;
   }
 
-  /** From now on hosts of holders are suspended and their times of day set, at times both. */
+  /** Enables suspensions of term holders' hosts and steps of their wall clocks, also combined. */
   LeaseSimulation withClockFaults() {
     clockFaults = true;
     return this;
   }
 
   /**
-   * From now on the news that a run has ended comes again and again. Where names are used again,
-   * runs of other names have the address of one until the next run of its name starts there.
+   * Enables repeated notices that a run has terminated. If names are reused, runs with other names
+   * may use the address of a run before the next run with its name starts there.
    */
   LeaseSimulation withRepeatedNotices() {
     repeatsNotices = true;
@@ -85,32 +95,32 @@
     return this;
   }
 
-  /** Returns how often news that had been told, or was to be told, was told once more. */
+  /** Returns the number of additional termination notices. */
   int repeatedNotices() {
     return repeatedNotices;
   }
 
-  /** Returns how often a run started again after one of another name had had its address. */
+  /** Returns how often a name was reused after a run with another name had used its address. */
   int nameReturns() {
     return fleet.nameReturns();
   }
 
-  /** Returns how often a holder's host was suspended. */
+  /** Returns the number of suspensions of term holders' hosts. */
   int suspensions() {
     return suspensions;
   }
 
-  /** Returns how often a holder's time of day was set. */
+  /** Returns the number of steps of term holders' wall clocks. */
   int clockSteps() {
     return clockSteps;
   }
 
-  /** Returns how often the store came back without a record that had been written. */
+  /** Returns the number of rollbacks in which the store may have lost a record. */
   int lostRecords() {
     return lostRecords;
   }
 
-  /** Runs for a while; things go wrong all the time. */
+  /** Runs the simulation for a time and injects faults throughout. */
   void run(long durationMs) {
     long endMs = time.nowMs() + durationMs;
     addHolder();
@@ -145,7 +155,7 @@
     return holder;
   }
 
-  /** Each holder learns that another run answers in place of one: soon, late, or never. */
+  /** Notifies each term holder, soon, late or never, that another run answers in place of one. */
   private void notifyHolders(SimulatedTarget ended) {
     for (SimulatedTermHolder holder : holders) {
       int choice = time.nextInt(3);
@@ -185,20 +195,23 @@
       rollBackStore();
     }
     if (time.oneIn(200)) {
-      InjectedFault trouble = InjectedFault.values()[time.nextInt(InjectedFault.values().length)];
-      injectedFaults.add(trouble);
-      fleet.anyRunning().ifPresent(run -> cause(trouble, run));
+      InjectedFault fault = InjectedFault.values()[time.nextInt(InjectedFault.values().length)];
+      injectedFaults.add(fault);
+      fleet.anyRunning().ifPresent(run -> inject(fault, run));
     }
   }
 
-  /** Mostly that of the last holder, or of the one before, which may not know of the last. */
+  /**
+   * Disturbs the clock of the newest term holder or of its predecessor, which may not know that it
+   * was replaced.
+   */
   private void injectClockFault() {
     int back = Math.min(holders.size() - 1, time.nextInt(2));
     HostClock clock = holders.get(holders.size() - 1 - back).clock();
     boolean both = time.oneIn(4);
     if (both || time.oneIn(3)) {
       suspensions++;
-      clock.suspend(time.nextMs(100, LONGEST_SLEEP_MS));
+      clock.suspend(time.nextMs(100, MAX_SUSPENSION_MS));
     } else {
       clockSteps++;
       setTimeOfDay(clock);
@@ -209,7 +222,7 @@
     }
   }
 
-  /** A step ahead or back, which a time service takes back soon, or not at all. */
+  /** Steps the wall clock forward or back; a time service may reverse the step soon afterwards. */
   private void setTimeOfDay(HostClock clock) {
     long byMs = time.nextMs(100, 9_000) * (time.oneIn(3) ? -1 : 1);
     clock.setTimeOfDay(byMs);
@@ -218,7 +231,7 @@
     }
   }
 
-  /** The holder hears of it within half a second, unless it is lost at that moment. */
+  /** Rolls the store back; the term holder learns of it within 500 ms or is replaced. */
   private void rollBackStore() {
     int writes = time.nextInt(12);
     lostRecords += writes > 0 ? 1 : 0;
@@ -231,11 +244,11 @@
     }
   }
 
-  private void cause(InjectedFault trouble, SimulatedTarget run) {
-    switch (trouble) {
+  private void inject(InjectedFault fault, SimulatedTarget run) {
+    switch (fault) {
       case ONE_RESTARTS -> {
         fleet.restart(run);
-        // Nobody but a run of another name tells that this one has ended.
+        // Only an answer from a run with another name shows that this one has terminated.
         if (!reusesNames && time.oneIn(2)) {
           holders.forEach(holder -> holder.onGone(run.id()));
         }
@@ -259,7 +272,7 @@
         fleet.loseAnswers(run.address(), time.nextMs(1_000, 4_000));
         time.schedule(time.nextMs(0, 2_000), () -> fleet.restart(run));
       }
-      default -> throw new IllegalStateException(trouble.toString());
+      default -> throw new IllegalStateException(fault.toString());
     }
   }
 
@@ -267,7 +280,7 @@
     SimulatedTermHolder last = holders.get(holders.size() - 1);
     last.loseTerm(time.oneIn(2));
     SimulatedTermHolder next = addHolder();
-    next.blockPathToAnyTarget(clockFaults ? LONG_CUT_MS : CUT_MS);
+    next.blockPathToAnyTarget(clockFaults ? MAX_LONG_PARTITION_MS : MAX_PARTITION_MS);
     if (time.oneIn(3)) {
       time.schedule(time.nextMs(0, 3_000), () -> next.askPredecessor(last));
     }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseTerminationNoticeTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseTerminationNoticeTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * News that an owner has ended comes more than once, late, and in another order than what it tells
- * of. Meanwhile the next run of the owner's name answers at its address.
+ * Notices that an owner has terminated arrive repeatedly, late and out of order, while the next run
+ * under the owner's name answers at its address.
  */
 class LeaseTerminationNoticeTest {
 
@@ -33,7 +33,7 @@
   private long tokens;
   private final LeaseManager manager = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
 
-  /** All keys are the owner's; then it ends, and the next run of its name starts. */
+  /** The owner holds all keys, then terminates; the next run under its name takes its place. */
   @BeforeEach
   void grantAllToTheOwner() {
     manager.partition(List.of(listed(owner)));
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void grantsUnderWayCountThoughTheNewsIsToldAgain() {
+  void grantsInFlightCountDespiteRepeatedNotices() {
     LeaseOrder.Grant renewal = grantDue(1_000);
     manager.onGone(OWNER);
     answer(renewal, next, 1_010);
@@ -53,16 +53,16 @@
   }
 
   @Test
-  void grantsSentAfterTheNewsCountThoughItIsToldAgain() {
+  void grantsSentAfterTheNoticeCountDespiteRepeatedNotices() {
     manager.onGone(OWNER);
     answer(grantDue(1_000), next, 1_010);
     manager.onGone(OWNER);
     moveAllToTheOther(1_020);
   }
 
-  /** The answer may be lost instead. */
+  /** The answer to the grant is lost. */
   @Test
-  void grantsWithoutAnswerCountThoughTheNewsIsToldAgain() {
+  void unansweredGrantsCountDespiteRepeatedNotices() {
     LeaseOrder.Grant renewal = grantDue(1_000);
     manager.onGone(OWNER);
     carryOut(renewal, next, 1_010);
@@ -71,9 +71,11 @@
     moveAllToTheOther(1_720);
   }
 
-  /** The next run took the first of two grants; the second, under way at the move, was not sent. */
+  /**
+   * The next run accepts the first of two grants; the second, in flight at the move, is not sent.
+   */
   @Test
-  void earlierGrantsCountThoughTheOneUnderWayAtTheMoveIsNotCarriedOut() {
+  void earlierGrantsCountIfTheGrantInFlightAtTheMoveIsNotSent() {
     LeaseOrder.Grant missed = grantDue(1_000);
     manager.onGrantEnded(missed, OrderOutcome.NOT_SENT, 1_000, 1_010);
     answer(grantDue(1_300), next, 1_310);
@@ -85,9 +87,9 @@
     checkKeysAt(2_420);
   }
 
-  /** The same, with the news after the answer. */
+  /** The notice arrives after the outcome of the second grant. */
   @Test
-  void earlierGrantsCountThoughTheNewsComesAfterTheAnswer() {
+  void earlierGrantsCountIfTheNoticeFollowsTheAnswer() {
     LeaseOrder.Grant missed = grantDue(1_000);
     manager.onGrantEnded(missed, OrderOutcome.NOT_SENT, 1_000, 1_010);
     answer(grantDue(1_300), next, 1_310);
@@ -101,13 +103,14 @@
   }
 
   /**
-   * Seen: two targets held a key after late news that its owner had ended, told once.
+   * Guards against two owners of a key after a single late notice that its owner has terminated.
    *
-   * <p>How: a run of another name had the owner's address for 200 ms, between two orders. Nothing
-   * found the owner absent; the next run of its name took the renewals. The news voided these too.
+   * <p>A run with another name used the owner's address for 200 ms, between two orders, so no order
+   * found the owner absent. The next run under the owner's name accepted the renewals, and the
+   * notice wrongly voided these too.
    */
   @Test
-  void lateNewsSparesGrantsThatTheNextRunTookUnnoticed() {
+  void lateNoticeKeepsGrantsThatTheNextRunAccepted() {
     LeaseSimulation simulation = new LeaseSimulation(1289, true, true).withRepeatedNotices();
     simulation.run(60_000);
     assertThat(simulation.invariants().violations()).isEmpty();
@@ -119,7 +122,7 @@
     checkKeysAt(nowMs);
   }
 
-  /** The other one gets the keys once the next run of the owner's name holds none, and no later. */
+  /** Checks that the other target gets the keys exactly when the next run holds them no longer. */
   private void checkKeysAt(long fromMs) {
     assertThat(next.holds(0, fromMs)).isTrue();
     long endMs = fromMs + TIMINGS.boundMs(TIMINGS.leaseMs());
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/RangeRoutesTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/RangeRoutesTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void nothingIsLaidOverAnEmptyList() {
+  void overlayHandlesEmptyLists() {
     List<RangeRoute> all = List.of(new RangeRoute(0, 39, A, true));
     assertThat(RangeRoutes.overlay(List.of(), all)).isEqualTo(all);
     assertThat(RangeRoutes.overlay(all, List.of())).isEqualTo(all);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedFleet.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedFleet.java
@@ -11,10 +11,11 @@
 import java.util.function.Consumer;
 
 /**
- * Runs of targets of two services at their addresses, and what the registry lists of them.
+ * The runs of the targets of two services with their addresses and registry entries.
  *
- * <p>When a run ends, another one of its service takes its address, or one of the other service, or
- * nobody for now. The registry may list the ended one for seconds, and the next one late.
+ * <p>When a run terminates, its address is taken by another run of the same or of the other
+ * service, or stays free for now. The registry may list the terminated run for seconds and the next
+ * one late.
  */
 final class SimulatedFleet {
 
@@ -29,20 +30,20 @@
   private boolean interleavesOtherNames;
   private int nameReturns;
 
-  /** Every run there ever was. */
+  /** All runs, including terminated ones. */
   private final Map<TargetId, SimulatedTarget> runs = new LinkedHashMap<>();
 
-  /** The run at each address, or the one that was there last. */
+  /** The current or last run at each address. */
   private final Map<String, SimulatedTarget> lastAt = new LinkedHashMap<>();
 
   private final Map<String, Long> answersLostUntilMs = new LinkedHashMap<>();
 
-  /** Creates the first runs; the caller learns which run has ended and was replaced. */
+  /** Creates the first runs; the callback receives each run that was replaced. */
   SimulatedFleet(VirtualTime time, Consumer<SimulatedTarget> onReplaced) {
     this(time, onReplaced, false);
   }
 
-  /** The same; runs that start at the address of one of their service may have its name. */
+  /** Creates the first runs; a run that restarts at the same address may reuse its name. */
   SimulatedFleet(VirtualTime time, Consumer<SimulatedTarget> onReplaced, boolean reusesNames) {
     this.time = time;
     this.onReplaced = onReplaced;
@@ -54,17 +55,17 @@
     }
   }
 
-  /** Tells whether a run may have the name of one that ended, at the same address. */
+  /** Returns whether a run may reuse the name of a terminated run at the same address. */
   boolean reusesNames() {
     return reusesNames;
   }
 
-  /** From now on, where names are used again, runs of other names come between at times. */
+  /** Allows runs with other names at an address before its name is reused. */
   void allowInterleavedNames() {
     interleavesOtherNames = true;
   }
 
-  /** Returns how often a run started again after one of another name had had its address. */
+  /** Returns how often a name was reused after a run with another name had used its address. */
   int nameReturns() {
     return nameReturns;
   }
@@ -81,7 +82,7 @@
     return runs.values().stream().filter(run -> !run.isEnded()).toList();
   }
 
-  /** Returns one of those that have not ended; empty while all have. */
+  /** Returns a random running run; empty if there is none. */
   Optional<SimulatedTarget> anyRunning() {
     List<SimulatedTarget> running = running();
     return running.isEmpty()
@@ -89,12 +90,12 @@
         : Optional.of(running.get(time.nextInt(running.size())));
   }
 
-  /** Returns the run that a connection to an address reaches now. */
+  /** Returns the running run at an address. */
   Optional<SimulatedTarget> runAt(String address) {
     return Optional.ofNullable(lastAt.get(address)).filter(run -> !run.isEnded());
   }
 
-  /** Answers from an address are lost for a while; orders get there. */
+  /** Drops most answers from an address for a time; orders still arrive there. */
   void loseAnswers(String address, long forMs) {
     answersLostUntilMs.put(address, time.nowMs() + forMs);
   }
@@ -103,13 +104,13 @@
     return answersLostUntilMs.getOrDefault(address, 0L) > time.nowMs();
   }
 
-  /** Ends a run; another one has its address at once, and the registry lists both for a while. */
+  /** Terminates a run and starts another at its address; the registry lists both for a time. */
   SimulatedTarget replace(SimulatedTarget run, ServiceId nextService, long listedForMs) {
     run.end(time.nowMs() + listedForMs);
     return start(nextService, run.address(), 0);
   }
 
-  /** Ends a run; soon the next one starts, at the same address or elsewhere. */
+  /** Terminates a run; the next one starts within 2 s at the same or another address. */
   void restart(SimulatedTarget run) {
     if (run.isEnded()) {
       return;
@@ -140,7 +141,7 @@
     }
   }
 
-  /** The run that was there for a while ends, and one with the name of the run before it starts. */
+  /** Terminates the interleaved run and restarts the earlier run under its name. */
   private void restartAfterInterleaved(SimulatedTarget between, SimulatedTarget ended) {
     if (!between.isEnded()) {
       between.end(time.nowMs() + time.nextMs(0, 2_000));
@@ -177,7 +178,7 @@
     return next;
   }
 
-  /** The next run has the address and the name of one that ended; its entry replaces that one's. */
+  /** Starts a run with the address and name of a terminated one and replaces its registry entry. */
   SimulatedTarget restartUnderSameName(SimulatedTarget ended, long listingDelayMs) {
     TargetId id = TargetId.ofRun(ended.id().name(), time.nowMs() + 1);
     ended.end(Math.min(ended.listedUntilMs(), time.nowMs() + listingDelayMs));
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedNetwork.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedNetwork.java
@@ -4,10 +4,10 @@
 import java.util.function.Consumer;
 
 /**
- * Carries orders to addresses: to the run that is there when they are sent, whichever that is.
+ * Delivers orders to whichever run is at an address when they are sent.
  *
- * <p>Orders are delayed, lost, refused, or carried out seconds later without an answer. Those on a
- * connection to a run that ends are lost with it: they never reach the next one.
+ * <p>Orders are delayed, lost, refused, or carried out seconds later without an answer. An order on
+ * a connection to a run that terminates is lost with it and never reaches the next run.
  */
 final class SimulatedNetwork {
 
@@ -20,7 +20,7 @@
   private int refusedGrants;
   private int refusedReleases;
 
-  /** Creates the network; orders name their target, and runs look at it, or they do not. */
+  /** Creates the network; runs check the target named in an order if {@code ordersNameTarget}. */
   SimulatedNetwork(
       VirtualTime time,
       SimulatedFleet fleet,
@@ -32,12 +32,12 @@
     this.ordersNameTarget = ordersNameTarget;
   }
 
-  /** Returns how many grants a run refused because they name another one. */
+  /** Returns the number of grants that runs refused because they name another target. */
   int refusedGrants() {
     return refusedGrants;
   }
 
-  /** Returns how many releases a run refused because they name another one. */
+  /** Returns the number of releases that runs refused because they name another target. */
   int refusedReleases() {
     return refusedReleases;
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedStore.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedStore.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The store of the assignments: each write replaces one revision. It may come back from an older
- * copy of itself; revisions of a later epoch are above all of those before.
+ * The simulated store of the assignments with compare-and-set writes. It can be rolled back to an
+ * older copy; revisions of a later epoch are higher than all earlier ones.
  */
 final class SimulatedStore {
 
@@ -30,7 +30,7 @@
     return epoch;
   }
 
-  /** Writes if nobody else has written meanwhile. */
+  /** Writes if the revision is still the expected one. */
   boolean replace(long expectedRevision, OwnershipRecord next) {
     if (revision() != expectedRevision) {
       return false;
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** Comes back from a copy that lacks the newest writes. */
+  /** Restores a copy that lacks the newest writes. */
   void rollBack(int writes) {
     int kept = Math.max(1, written.size() - writes);
     written.subList(kept, written.size()).clear();
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTarget.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTarget.java
@@ -4,12 +4,12 @@
 import io.cuminvalve.core.id.TargetId;
 
 /**
- * One run of a target at its address. It holds leases, as targets do: by token, on a clock that may
- * run slow. The next run at the address is another target: nothing seen, nothing held.
+ * One simulated run of a target. It checks fencing tokens and times its leases on a clock that may
+ * run slow. The next run at the address starts without tokens and leases.
  */
 final class SimulatedTarget {
 
-  /** Only every so manieth key is looked at; moves in tests begin and end there. */
+  /** The distance between sampled keys; moves in tests begin and end at multiples of it. */
   static final int STEP = 4_096;
 
   static final int SAMPLES = KeyRange.KEY_COUNT / STEP;
@@ -50,12 +50,16 @@
     return listedUntilMs;
   }
 
-  /** Tells whether the registry lists this run at some time of these. */
+  /** Returns whether the registry lists this run at any time in an interval. */
   boolean isListed(long fromMs, long untilMs) {
     return listedFromMs <= untilMs && fromMs < listedUntilMs;
   }
 
-  /** Carries an order out; a lease runs since it arrived. What is named is looked at if it is. */
+  /**
+   * Carries out an order; a granted lease starts when the order arrived.
+   *
+   * @param named whether the order names its target, which is then checked
+   */
   OrderOutcome carryOut(LeaseOrder order, boolean named, long arrivedMs) {
     if (named && !isAddressee(order.target())) {
       return OrderOutcome.OTHER_TARGET;
@@ -66,7 +70,7 @@
     return release((LeaseOrder.Release) order);
   }
 
-  /** On the way to a run its name alone counts: a later run of the same target takes it too. */
+  /** Returns whether an order is addressed to this run: only the name counts, not the start. */
   boolean isAddressee(TargetId target) {
     return target.name().equals(id.name());
   }
@@ -101,7 +105,7 @@
     return !ended && heldUntilMs[sample] > nowMs;
   }
 
-  /** Returns the service in whose name the key was granted last; null if it never was. */
+  /** Returns the service for which the key was last granted; null if it never was. */
   ServiceId lastGrantedFor(int sample) {
     return lastGrantedFor[sample];
   }
@@ -110,7 +114,7 @@
     return ended;
   }
 
-  /** Ends; the registry lists it for a while longer. */
+  /** Terminates the run; the registry lists it until the given time. */
   void end(long listedUntil) {
     ended = true;
     listedUntilMs = listedUntil;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
@@ -17,8 +17,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A holder of the term with a manager for each service. It knows targets by the registry, whose
- * list it sees late, and sends orders to the addresses that it has seen there.
+ * A simulated term holder with a {@link LeaseManager} for each service. It learns of targets from
+ * the registry with a delay and sends orders to the registered addresses.
  */
 final class SimulatedTermHolder {
 
@@ -30,7 +30,7 @@
   private final SimulatedNetwork network;
   private final SimulatedStore store;
   private final Map<ServiceId, LeaseManager> managers = new LinkedHashMap<>();
-  private final Set<TargetId> gone = new HashSet<>();
+  private final Set<TargetId> reportedTerminated = new HashSet<>();
   private final Set<SimulatedTarget> answeredBy = new HashSet<>();
   private final Map<TargetId, String> storedAddresses = new HashMap<>();
   private final long term;
@@ -87,14 +87,14 @@
     storedMayBeOld = store.stored().storeEpoch() < epoch;
     if (storedMayBeOld && waitsForLostWrites) {
       managers.values().forEach(manager -> manager.assumeUnknownOwners(foreignUntilMs));
-      // There may have been a record, although there is none.
+      // The rollback may have lost the only record.
       idleUntilMs = store.stored().tables().isEmpty() ? foreignUntilMs : 0;
     }
   }
 
   /**
-   * The store came back older: writes what this holder knows again, then gives its term up and
-   * takes it anew, unless another one has it by then.
+   * Handles a rollback of the store: writes the assignments again, then gives up the term and
+   * acquires a new one, unless another term holder has replaced this one by then.
    */
   void onStoreRolledBack(Runnable onDone) {
     if (isReplaced()) {
@@ -111,19 +111,22 @@
     }
   }
 
-  /** The path to one target is cut for a while; that of the holder before need not be. */
+  /**
+   * Makes one target unreachable from this term holder for a random time; its predecessor may still
+   * reach that target.
+   */
   void blockPathToAnyTarget(long longestMs) {
     unreachable = fleet.anyRunning().map(SimulatedTarget::address).orElse("");
     reachableAtMs = time.nowMs() + time.nextMs(0, longestMs);
   }
 
-  /** The path to this target is cut until then. */
+  /** Makes a target unreachable from this term holder until a given time. */
   void blockPathTo(SimulatedTarget target, long untilMs) {
     unreachable = target.address();
     reachableAtMs = untilMs;
   }
 
-  /** The holder before stops and tells which leases may still be in force. */
+  /** Stops the predecessor, which reports the leases that may still be in force. */
   void askPredecessor(SimulatedTermHolder predecessor) {
     predecessor.stopped = true;
     if (predecessor.term == takenOverFrom && !storedMayBeOld) {
@@ -135,35 +138,35 @@
     }
   }
 
-  /** Another holder has the term; this one may or may not learn it from the store. */
+  /** Loses the term to another term holder; the store may be unreachable and so not report it. */
   void loseTerm(boolean unreachableStore) {
     storeReachable = !unreachableStore;
     termLostAt = Optional.of(clock.upper());
   }
 
-  /** A holder that meets higher tokens asks the store first: without an answer it goes on. */
+  /** Makes this term holder continue after stale tokens while the store does not answer. */
   void keepRunningWhenStale() {
     keepsRunningWhenStale = true;
   }
 
-  /** Learns that another run answers at the address of a target. */
+  /** Handles a notice that another run answers at the address of a target. */
   void onGone(TargetId id) {
-    gone.add(id);
+    reportedTerminated.add(id);
     managers.values().forEach(manager -> manager.onGone(id));
   }
 
-  /** Learns the same from the answer to an order: the target stays listed for now. */
+  /** Handles the same notice from the answer to an order: the target stays registered for now. */
   void onOtherTarget(TargetId id) {
     managers.values().forEach(manager -> manager.onGone(id));
   }
 
-  /** Tells whether it gave up, be it that the term is still its own. */
+  /** Returns whether it has stopped, even if no other term holder has replaced it. */
   boolean isStopped() {
     return stopped;
   }
 
   void step() {
-    if (stopped || clock.isAsleep()) {
+    if (stopped || clock.isSuspended()) {
       return;
     }
     if (clock.takeClockGain()) {
@@ -173,7 +176,7 @@
     if (!confirmed || isGraceOver() || clock.nowMs() < idleUntilMs) {
       return;
     }
-    managers.forEach(this::decide);
+    managers.forEach(this::planMoves);
     write();
     for (LeaseManager manager : managers.values()) {
       manager.due(clock.nowMs(), target -> true).forEach(order -> send(manager, order));
@@ -186,7 +189,7 @@
     return termLostAt.filter(at -> clock.upper().sinceMs(at) > TIMINGS.holderGraceMs()).isPresent();
   }
 
-  /** Asks the store whether the term is still its own, as it may have slept. */
+  /** Asks the store whether it still holds the term, since its host may have been suspended. */
   private void confirm() {
     if (!storeReachable) {
       return;
@@ -205,8 +208,10 @@
     return clock;
   }
 
-  private void decide(ServiceId service, LeaseManager manager) {
-    // Who may take a name over has to know: no other holder is there while the term is confirmed.
+  private void planMoves(ServiceId service, LeaseManager manager) {
+    // With reused names, orders may go to a new run only while the term is confirmed, that is,
+    // while
+    // there is no other term holder.
     boolean unconfirmed = fleet.reusesNames() && termLostAt.isPresent();
     manager.setOutage(!storeReachable || unconfirmed);
     List<SimulatedTarget> usable = usable(service);
@@ -229,7 +234,7 @@
     }
   }
 
-  /** Gives up to two of the keys that a run has to others. */
+  /** Moves up to two sampled ranges of a run to other runs. */
   void moveFrom(SimulatedTarget run) {
     List<SimulatedTarget> others = new ArrayList<>(usable(run.service()));
     others.remove(run);
@@ -254,14 +259,14 @@
     manager.move(keys, usable.get(time.nextInt(usable.size())).id(), clock.nowMs());
   }
 
-  /** Returns the targets that may own keys, as far as this holder knows. */
+  /** Returns the targets that this term holder regards as able to own keys. */
   private List<SimulatedTarget> usable(ServiceId service) {
     long seenMs = time.nowMs() - registryLagMs;
     List<SimulatedTarget> usable = new ArrayList<>();
     for (SimulatedTarget run : fleet.runs()) {
       if (run.service().equals(service)
           && run.isListed(seenMs, seenMs)
-          && !gone.contains(run.id())) {
+          && !reportedTerminated.contains(run.id())) {
         usable.add(run);
       }
     }
@@ -320,16 +325,18 @@
     }
   }
 
-  /** Most gateways follow another holder by then, whatever the older store says of the term. */
+  /**
+   * Returns whether most gateways follow another term holder, whatever a rolled-back store says.
+   */
   private boolean isReplaced() {
     return termLostAt.isPresent();
   }
 
-  /** Somebody else has written, or the store came back older and lacks what this holder wrote. */
+  /** Handles a failed write: another term holder has written, or the store was rolled back. */
   private void reload() {
-    boolean cameBack = epoch != store.epoch();
-    // Before its first write, others may have written what it has not read.
-    if (!cameBack
+    boolean rolledBack = epoch != store.epoch();
+    // Before its first write, others may have written records that this term holder has not read.
+    if (!rolledBack
         || !hasWritten
         || isReplaced()
         || store.stored().term() > term
@@ -364,13 +371,13 @@
         });
   }
 
-  /** Connections end with the run that they lead to. */
+  /** Returns whether the run now at the address has answered; connections end with their run. */
   private boolean isConnected(Optional<String> address) {
     return !fleet.reusesNames()
         || address.flatMap(fleet::runAt).filter(answeredBy::contains).isPresent();
   }
 
-  /** Knows a target that it has seen listed, or whose address an earlier holder wrote. */
+  /** Returns the address of a target that was registered or that an earlier term holder stored. */
   private Optional<String> addressOf(TargetId id) {
     SimulatedTarget named = fleet.run(id);
     boolean seen =
@@ -379,10 +386,11 @@
   }
 
   private void end(LeaseManager manager, LeaseOrder order, OrderOutcome outcome, long sentMs) {
-    clock.runWhenAwake(() -> noteEnd(manager, order, outcome, sentMs));
+    clock.runWhenAwake(() -> handleEnd(manager, order, outcome, sentMs));
   }
 
-  private void noteEnd(LeaseManager manager, LeaseOrder order, OrderOutcome outcome, long sentMs) {
+  private void handleEnd(
+      LeaseManager manager, LeaseOrder order, OrderOutcome outcome, long sentMs) {
     if (order instanceof LeaseOrder.Grant grant) {
       manager.onGrantEnded(grant, outcome, sentMs, clock.nowMs());
     } else if (order instanceof LeaseOrder.Release release) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/VirtualTime.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/VirtualTime.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Time that passes in steps, what happens in it, and the chance that decides what. */
+/** A simulated clock that advances in steps, with scheduled events and seeded random numbers. */
 final class VirtualTime {
 
   private final SplittableRandom random;
@@ -19,17 +19,17 @@
     return nowMs;
   }
 
-  /** Draws one of so many numbers, from 0. */
+  /** Returns a random number from 0 to the bound, exclusive. */
   int nextInt(int bound) {
     return random.nextInt(bound);
   }
 
-  /** Tells whether something happens that happens once in so many times. */
+  /** Returns true with a probability of one in {@code times}. */
   boolean oneIn(int times) {
     return random.nextInt(times) == 0;
   }
 
-  /** Draws a time. */
+  /** Returns a random time within the bounds; the upper bound is exclusive. */
   long nextMs(long leastMs, long boundMs) {
     return random.nextLong(leastMs, boundMs);
   }
@@ -42,7 +42,7 @@
     events.add(new Event(nowMs + delayMs, eventCount++, action));
   }
 
-  /** Lets time pass; what is due happens in its order, at the end of the step. */
+  /** Advances the clock, then runs the events that are due in order of time and scheduling. */
   void advance(long stepMs) {
     nowMs += stepMs;
     while (!events.isEmpty() && events.peek().atMs() <= nowMs) {
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Something that happens later. */
+  /** A scheduled action. */
   private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
 
     @Override
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/send/SendGateTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/send/SendGateTest.java
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void whatHoldsMayBeSent() {
+  void sendIsAllowedIfAllConditionsHold() {
     assertThat(check(SendKind.REQUEST)).isEmpty();
     assertThat(check(SendKind.GRANT)).isEmpty();
     assertThat(check(SendKind.RELEASE)).isEmpty();
@@ -37,7 +37,7 @@
 
   /** Each condition alone stops every kind of message that it concerns, and no other. */
   @Test
-  void everyConditionThatDoesNotHoldStopsWhatItConcerns() {
+  void everyUnmetConditionBlocksTheKindsItAppliesTo() {
     for (SendCondition condition : SendCondition.values()) {
       known.clear();
       known.put(condition, ConditionStatus.local(false, new UpperTime(nowMs)));
@@ -53,7 +53,7 @@
 
   /** A step before the gate that takes 2 s makes old knowledge older, not newer. */
   @Test
-  void everyConditionThatIsOutOfDateStopsWhatItConcerns() {
+  void everyOutdatedConditionBlocksTheKindsItAppliesTo() {
     for (SendCondition condition : SendCondition.values()) {
       known.clear();
       known.put(condition, ConditionStatus.heard(true, new UpperTime(nowMs), MAX_AGE_MS));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void whatWasNeverKnownStopsTheSend() {
+  void conditionThatWasNeverKnownBlocksTheSend() {
     known.put(
         SendCondition.TARGET_SERVES,
         ConditionStatus.heard(true, UpperTime.NEVER, Long.MAX_VALUE / 4));
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void nothingIsAskedAfterTheFirstObstacle() {
+  void checkStopsAtTheFirstObstacle() {
     known.put(SendCondition.ATTEMPT_OPEN, ConditionStatus.local(false, new UpperTime(nowMs)));
     assertThat(check(SendKind.REQUEST)).isPresent();
     assertThat(asked).containsExactly(SendCondition.ATTEMPT_OPEN);
@@ -82,13 +82,13 @@
 
   /** The look at the caller's connection costs a system call: nothing else comes after it. */
   @Test
-  void theCallerIsLookedAtLast() {
+  void callerConnectionIsCheckedLast() {
     assertThat(check(SendKind.REQUEST)).isEmpty();
     assertThat(asked.get(asked.size() - 1)).isEqualTo(SendCondition.CALLER_PRESENT);
   }
 
   @Test
-  void theReasonTellsWhatIsOnlyOutOfDate() {
+  void labelDistinguishesOutdatedFromUnmet() {
     assertThat(new SendObstacle(SendCondition.TARGET_SERVES, false).label())
         .isEqualTo("unmet_target_serves");
     assertThat(new SendObstacle(SendCondition.TARGET_SERVES, true).label())
