--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DepartureReport.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DepartureReport.java
@@ -3,11 +3,11 @@
 import io.cuminvalve.core.id.TargetId;
 
 /**
- * What a process knows of a target that leaves. Clocks of processes differ, so the time is told as
- * an age.
+ * A report that a target is leaving. The time is given as an age because clocks of processes
+ * differ.
  *
- * @param target the run that leaves; not null
- * @param ageMs how long ago it said so for the first time, as far as is known; milliseconds
+ * @param target the leaving run; not null
+ * @param ageMs the time since its first known announcement; milliseconds
  * @since 0.2
  */
 public record DepartureReport(TargetId target, long ageMs) {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DepartureTracker.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DepartureTracker.java
@@ -10,41 +10,41 @@
 import java.util.function.Predicate;
 
 /**
- * Remembers which runs of targets have said in an answer that they leave.
+ * Tracks which runs of targets have announced in an answer that they are leaving.
  *
- * <p>A run that has begun to leave never comes back; the next run under its name is another one.
- * Its entry in the registry may say the contrary for as long as the registry is away. Times are
- * those of the clock of this process. Not safe for use by several threads.
+ * <p>A run that has begun to leave never returns to service; the next run under its name is a
+ * different one. While the registry is unavailable, its entry for the run may still say that it is
+ * ready. Times are those of this process's clock. Not thread-safe.
  *
  * @since 0.2
  */
 public final class DepartureTracker {
 
-  /** Bounds the memory, also if every target of a large fleet leaves. */
+  /** Limits the memory used if every target of a large fleet leaves. */
   static final int MAX_TARGETS = 1_024;
 
-  /** For how long a run that is not registered is remembered: entries may come back. */
+  /** How long a run that is not registered is remembered, as its registry entry may reappear. */
   static final long UNREGISTERED_RETENTION_MS = 60_000;
 
   private final Map<TargetId, Long> sinceMs = new HashMap<>();
 
   /**
-   * Notes that a run leaves.
+   * Records that a run is leaving.
    *
    * @param target the run; not null
-   * @param nowMs the time; milliseconds
-   * @return whether that is news
+   * @param nowMs the current time; milliseconds
+   * @return whether the departure was not known before and has been recorded
    */
   public boolean add(TargetId target, long nowMs) {
     return merge(new DepartureReport(target, 0), nowMs);
   }
 
   /**
-   * Takes what another process knows.
+   * Merges a report from another process.
    *
-   * @param report what it knows; not null
-   * @param nowMs the time; milliseconds
-   * @return whether that is news
+   * @param report the report; not null
+   * @param nowMs the current time; milliseconds
+   * @return whether the departure was not known before and has been recorded
    */
   public boolean merge(DepartureReport report, long nowMs) {
     boolean known = sinceMs.containsKey(report.target());
@@ -55,7 +55,7 @@
   }
 
   /**
-   * Returns the runs that leave.
+   * Returns the runs that are leaving.
    *
    * @return a copy; never null
    */
@@ -64,11 +64,11 @@
   }
 
   /**
-   * Returns what is known of some runs.
+   * Returns reports on those of the given runs that are leaving.
    *
-   * @param targets which ones; not null
-   * @param nowMs the time; milliseconds
-   * @return one report for each that leaves; never null
+   * @param targets the runs; not null
+   * @param nowMs the current time; milliseconds
+   * @return one report for each leaving run; never null
    */
   public List<DepartureReport> reports(Collection<TargetId> targets, long nowMs) {
     List<DepartureReport> reports = new ArrayList<>();
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Returns the runs in short, so that two processes can tell whether they know the same.
+   * Returns a digest of the leaving runs, by which two processes can compare what they know.
    *
    * @return 0 if there is none
    */
@@ -91,11 +91,11 @@
   }
 
   /**
-   * Forgets runs that have long been gone.
+   * Removes runs that are not registered and have been leaving for longer than the retention time.
    *
-   * @param registered tells which runs are registered; not null
-   * @param nowMs the time; milliseconds
-   * @return whether any was forgotten
+   * @param registered tests whether a run is registered; not null
+   * @param nowMs the current time; milliseconds
+   * @return whether any run was removed
    */
   public boolean forget(Predicate<TargetId> registered, long nowMs) {
     return sinceMs
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DeputySelector.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/DeputySelector.java
@@ -8,19 +8,21 @@
 import java.util.TreeMap;
 
 /**
- * Chooses the gateways that follow the store beside the holder of the term.
+ * Selects the deputies: the gateways that, besides the term holder, read from the store directly.
  *
- * <p>Every other gateway learns from them and from the holder, so that what a fleet asks of the
- * store does not grow with its width. They are the strongest of each data centre in turn: a weak
- * host has enough to do with its callers, and a data centre that is cut off keeps one of its own.
+ * <p>All other gateways receive updates from the deputies and the term holder, so the load on the
+ * store does not grow with the number of gateways. Deputies are taken from each data centre in
+ * turn, those with the most processor cores first: weak hosts are busy with their callers, and a
+ * data centre that is partitioned from the others keeps a deputy of its own.
  *
  * @since 0.2
  */
 public final class DeputySelector {
 
   /**
-   * How many deputies a fleet has. The probability that all of them are among gateways lost at
-   * random is below 1% when half of a wide fleet is lost at once; in a narrow one all gateways are.
+   * The maximum number of deputies. When half of a large fleet is lost at random, the probability
+   * that all deputies are among the lost gateways is below 1%. In a small fleet all gateways are
+   * deputies.
    */
   public static final int DEPUTIES = 8;
 
@@ -30,21 +32,21 @@
           .thenComparing(Candidate::address);
 
   /**
-   * A gateway that may be chosen.
+   * A gateway that may become a deputy.
    *
    * @param address its peer address; not null
-   * @param dataCentre where it runs; not null
-   * @param processorCores how many cores it may use
+   * @param dataCentre the data centre in which it runs; not null
+   * @param processorCores the number of cores that it may use
    */
   public record Candidate(String address, DataCentreId dataCentre, double processorCores) {}
 
   private DeputySelector() {}
 
   /**
-   * Chooses deputies. The same candidates give the same choice, in whatever order.
+   * Selects the deputies. The result does not depend on the order of the candidates.
    *
-   * @param candidates all gateways but the holder; not null
-   * @return their addresses, {@link #DEPUTIES} at most; never null
+   * @param candidates all gateways except the term holder; not null
+   * @return the addresses of at most {@link #DEPUTIES} deputies; never null
    */
   public static List<String> choose(Collection<Candidate> candidates) {
     TreeMap<String, List<Candidate>> byDataCentre = new TreeMap<>();
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/FleetTarget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/FleetTarget.java
@@ -5,17 +5,17 @@
 import io.cuminvalve.core.id.TargetId;
 
 /**
- * One run of a target, as it registered itself.
+ * The registration of one run of a target.
  *
- * <p>A restarted target is another one, with another id, often at the same address.
+ * <p>A restarted target is another run with another id, often at the same address.
  *
- * @param id names this run of the target; not null
+ * @param id identifies this run of the target; not null
  * @param service the service that it belongs to; not null
  * @param address IP address and port; not null
- * @param dataCentre where it runs; not null
- * @param slots how many requests it works on at the same time; at least 1
- * @param phase whether it takes requests; not null
- * @param coldMs for how long it stays slow after its start, counted from its registration;
+ * @param dataCentre the data centre in which it runs; not null
+ * @param slots the number of requests that it processes concurrently; at least 1
+ * @param phase whether it accepts requests; not null
+ * @param coldMs the warm-up time during which it is slow, counted from its registration;
  *     milliseconds
  * @since 0.2
  */
@@ -29,16 +29,16 @@
     long coldMs) {
 
   /**
-   * Tells whether requests may go there.
+   * Returns whether requests may be sent to the target.
    *
-   * @return false once it drains
+   * @return false while it is draining
    */
   public boolean isReady() {
     return phase == TargetPhase.READY;
   }
 
   /**
-   * Returns the same target once it leaves.
+   * Returns a copy of this registration in phase {@link TargetPhase#DRAINING}.
    *
    * @return never null
    */
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Tells whether another registration says the same to everybody who routes requests.
+   * Returns whether another registration is equivalent for routing.
    *
    * @param other the other registration; may be null
-   * @return true if only the remaining cold time differs, or nothing
+   * @return true if at most the remaining warm-up time differs
    */
   public boolean hasSameRouting(FleetTarget other) {
     return other != null
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetPhase.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetPhase.java
@@ -1,13 +1,13 @@
 package io.cuminvalve.core.fleet;
 
 /**
- * What a target says of itself.
+ * The phase that a target reports.
  *
  * @since 0.2
  */
 public enum TargetPhase {
-  /** It takes requests. */
+  /** The target accepts requests. */
   READY,
-  /** It is about to leave: nothing new may go there. */
+  /** The target is about to leave: no new requests may be sent to it. */
   DRAINING
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetRegister.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetRegister.java
@@ -11,12 +11,11 @@
 import java.util.function.Predicate;
 
 /**
- * The targets that are known now, with a version that changes when routing has to change.
+ * The currently known targets, with a version that changes whenever routing has to change.
  *
- * <p>Registrations are rewritten at every sign of life; only those that differ for routing raise
- * the version. While the registry was out of reach, entries may have lapsed although their targets
- * live; {@link #replaceAll} therefore takes the time until which a missing entry is kept. Not safe
- * for use by several threads.
+ * <p>Targets renew their registrations periodically; only changes that affect routing increment the
+ * version. While the registry was unreachable, entries of running targets may have expired, so
+ * {@link #replaceAll} can keep missing entries. Not thread-safe.
  *
  * @since 0.2
  */
@@ -26,8 +25,8 @@
   private long version;
 
   /**
-   * Takes one registration. A later run replaces an earlier one of the same target; a late word of
-   * an earlier run changes nothing, nor does one from before the target began to leave.
+   * Adds or updates a registration. A later run replaces earlier runs of the same target. Updates
+   * from an earlier run are ignored, and so are those from before the target began to leave.
    *
    * @param target the registration; not null
    * @return true if routing has to change
@@ -58,7 +57,7 @@
   }
 
   /**
-   * Finds the runs that are known of a target; more than one only while their starts are not known.
+   * Returns the known runs of a target; more than one only while their start times are not known.
    *
    * @param id the target, or any run of it; not null
    * @return never null
@@ -69,7 +68,7 @@
   }
 
   /**
-   * Forgets a target.
+   * Removes a target.
    *
    * @param id the target; not null
    * @return true if it was known
@@ -83,10 +82,10 @@
   }
 
   /**
-   * Takes the whole list.
+   * Replaces the registrations by a complete list.
    *
-   * @param listed every registration; not null
-   * @param keepMissing true while registrations that lapsed in an outage may still come back
+   * @param listed all registrations; not null
+   * @param keepMissing true while registrations that expired in an outage may still be renewed
    * @return true if routing has to change
    */
   public boolean replaceAll(Collection<FleetTarget> listed, boolean keepMissing) {
@@ -140,9 +139,9 @@
   }
 
   /**
-   * Returns the version of what routing has to know.
+   * Returns the version of the information used for routing.
    *
-   * @return starts at 0 and only grows
+   * @return a number that starts at 0 and never decreases
    */
   public long version() {
     return version;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetSignals.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetSignals.java
@@ -7,18 +7,18 @@
 import java.util.Set;
 
 /**
- * Everything that a target says in the head of an answer, apart from the answer itself.
+ * The control information that a target sends in the header fields of an answer.
  *
- * @param attemptId the attempt that it answers; empty if it does not say
- * @param notExecuted whether it proves that the request did not run and never will
- * @param answeringTarget the name of the target that answers; empty if it does not say
- * @param limitPerS the requests a second that it takes from all gateways together; empty if it
- *     names no limit
- * @param leaving whether it is about to end
- * @param restMs for how long it wants no request from this gateway; milliseconds, above 0; empty if
- *     it asks for no rest
- * @param unreadable which of these it says in a way that cannot be read; not null
- * @param unknownFields names of header fields that nobody reads; not null
+ * @param attemptId the attempt that is answered; empty if not given
+ * @param notExecuted whether the target confirms that the request was not and will not be executed
+ * @param answeringTarget the name of the answering target; empty if not given
+ * @param limitPerS the requests per second that it accepts from all gateways together; empty if it
+ *     declares no limit
+ * @param leaving whether it is about to terminate
+ * @param restMs how long this gateway should send it no requests; milliseconds, above 0; empty if
+ *     not requested
+ * @param unreadable the signals whose header fields could not be parsed; not null
+ * @param unknownFields the names of header fields that are not recognised; not null
  * @since 0.2
  */
 public record TargetSignals(
@@ -37,21 +37,21 @@
     unknownFields = List.copyOf(unknownFields);
   }
 
-  /** What a target may ask for. */
+  /** The signals by which a target can influence the requests that it receives. */
   public enum Kind {
-    /** A limit of requests a second. */
+    /** A limit of requests per second. */
     LIMIT,
-    /** To be left alone for good, since it ends. */
+    /** No further requests, because the target is terminating. */
     LEAVING,
-    /** To be left alone for a while. */
+    /** No requests for a time. */
     REST
   }
 
   /**
-   * Tells whether another target answered than the one that was asked.
+   * Returns whether a target other than the addressed one has answered.
    *
-   * @param asked the name of the target that was asked; not null
-   * @return false if the answer does not say who answers
+   * @param asked the name of the addressed target; not null
+   * @return false if the answer does not name the answering target
    */
   public boolean isFromOtherThan(String asked) {
     return answeringTarget.isPresent() && !answeringTarget.get().equals(asked);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/package-info.java
@@ -1,2 +1,4 @@
-/** Targets that come and go: what is known of each, and what changed. */
+/**
+ * The known targets of the fleet, their registrations, signals and departures, and the deputies.
+ */
 package io.cuminvalve.core.fleet;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/send/ConditionLookup.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/send/ConditionLookup.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.kernel.UpperTime;
 
 /**
- * Knows all that may forbid one send.
+ * Provides the status of the conditions for sending one message.
  *
  * @since 0.2
  */
@@ -11,11 +11,11 @@
 public interface ConditionLookup {
 
   /**
-   * Looks at one condition.
+   * Returns the status of a condition.
    *
-   * @param condition one that concerns this kind of message; not null
-   * @param now the time; not null
-   * @return what is known of it; never null
+   * @param condition a condition that applies to the kind of message; not null
+   * @param now the current time; not null
+   * @return the last known status; never null
    */
   ConditionStatus of(SendCondition condition, UpperTime now);
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/send/ConditionStatus.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/send/ConditionStatus.java
@@ -3,12 +3,12 @@
 import io.cuminvalve.kernel.UpperTime;
 
 /**
- * Whether a condition held, as of when that is known, and for how long it may be relied on.
+ * The last known status of a {@link SendCondition} with its age limit.
  *
- * @param holds whether it held
- * @param asOf the latest time at which it is proved to have held; {@link UpperTime#NEVER} if it
- *     never was; not null
- * @param maxAgeMs how old that proof may be; milliseconds
+ * @param holds whether the condition held when it was last known
+ * @param asOf the latest time at which it is known to have held; {@link UpperTime#NEVER} if none;
+ *     not null
+ * @param maxAgeMs the maximum age of that knowledge; milliseconds
  * @since 0.2
  */
 public record ConditionStatus(boolean holds, UpperTime asOf, long maxAgeMs) {
@@ -16,10 +16,11 @@
   private static final long UNBOUNDED_MS = Long.MAX_VALUE;
 
   /**
-   * Returns a fact that this process decides by itself: it is never out of date.
+   * Returns the status of a condition that this process determines itself. It never becomes
+   * outdated.
    *
    * @param holds whether the condition holds
-   * @param now the time; not null
+   * @param now the current time; not null
    * @return never null
    */
   public static ConditionStatus local(boolean holds, UpperTime now) {
@@ -27,11 +28,11 @@
   }
 
   /**
-   * Returns a fact about others, which may have changed since.
+   * Returns the status of a condition that depends on other processes and may have changed since.
    *
    * @param holds whether the condition held
-   * @param asOf when it is proved to have held; not null
-   * @param maxAgeMs how old that may be; milliseconds
+   * @param asOf the latest time at which it is known to have held; not null
+   * @param maxAgeMs the maximum age of that knowledge; milliseconds
    * @return never null
    */
   public static ConditionStatus heard(boolean holds, UpperTime asOf, long maxAgeMs) {
@@ -39,10 +40,10 @@
   }
 
   /**
-   * Tells whether it forbids a send.
+   * Returns whether this status forbids sending.
    *
    * @param now the time of the first byte; not null
-   * @return true if the condition did not hold, or the proof is too old
+   * @return true if the condition did not hold or the knowledge is too old
    */
   public boolean forbids(UpperTime now) {
     return !holds || now.sinceMs(asOf) > maxAgeMs;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendCondition.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendCondition.java
@@ -9,49 +9,49 @@
 import java.util.Set;
 
 /**
- * Something that has to hold at the first byte.
+ * A precondition that must hold when the first byte of a message to a target is sent.
  *
- * <p>Conditions are looked at in this order: cheap ones first, and last the one that costs a system
- * call.
+ * <p>Conditions are checked in the order of declaration: cheap ones first, and last the one that
+ * requires a system call.
  *
  * @since 0.2
  */
 public enum SendCondition {
 
-  /** Nobody has given the attempt up. */
+  /** The attempt has not been abandoned. */
   ATTEMPT_OPEN(REQUEST),
 
   /** The sender holds the term in which it decided on the order. */
   TERM_HELD(GRANT, RELEASE),
 
-  /** The order was decided on lately: a newer one may have been since. */
+  /** The order was decided on recently; otherwise a newer decision may exist. */
   DECISION_RECENT(GRANT, RELEASE),
 
-  /** The time that the caller gave is not over, counted from when the request may have arrived. */
+  /** The caller's timeout, counted from the earliest arrival of the request, is not over. */
   TIME_LEFT(REQUEST),
 
   /**
-   * No other run answers at the address of the target, as far as is known. A release is sent all
-   * the same: it gives nobody keys, and who answers it proves who is there.
+   * No other run is known to answer at the target's address. Releases do not depend on this: they
+   * grant no keys, and the answer shows which target is at the address.
    */
   TARGET_RUNS(REQUEST, GRANT),
 
-  /** The target is registered, takes requests and has not said that it leaves. */
+  /** The target is registered, accepts requests and has not announced that it leaves. */
   TARGET_SERVES(REQUEST),
 
-  /** The target has not asked for rest. */
+  /** The target has not asked this gateway to pause requests. */
   TARGET_RESTED(REQUEST),
 
-  /** The target names no limit, or the permit for this request was given lately. */
+  /** The target declares no rate limit, or the permit for this request was issued recently. */
   LIMIT_KEPT(REQUEST),
 
-  /** Requests like this one are not in quarantine. */
+  /** Requests with the fingerprint of this one are not quarantined. */
   QUARANTINE_CLEAR(REQUEST),
 
-  /** The target is the open owner of the request's key, if it has one. */
+  /** If the request has a key, the target owns it and its range is open. */
   KEY_OWNED(REQUEST),
 
-  /** The configuration in force sends the request to the target's service. */
+  /** The configuration in force routes the request to the target's service. */
   ROUTE_IN_FORCE(REQUEST),
 
   /** The caller's connection is open. */
@@ -64,17 +64,17 @@
   }
 
   /**
-   * Tells whether a kind of message depends on this condition.
+   * Returns whether a kind of message depends on this condition.
    *
-   * @param kind the kind; not null
-   * @return false if it may be sent whether this holds or not
+   * @param kind the kind of message; not null
+   * @return false if the message may be sent regardless of this condition
    */
   public boolean concerns(SendKind kind) {
     return kinds.contains(kind);
   }
 
   /**
-   * Returns the name for logs and metrics.
+   * Returns the name used in logs and metrics.
    *
    * @return lower case; never null
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendGate.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendGate.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * Decides right before the first byte whether a request or an order may be sent.
+ * Checks immediately before the first byte whether a request or an order may be sent.
  *
- * <p>Between the decision to send and the first byte lie a queue, a connection and threads that may
- * be late. So whatever forbids a send is looked at here once more, and nowhere else for good. A
- * condition that is not known to hold forbids it. What is stopped here has not run. Safe for use by
- * several threads.
+ * <p>Queues, connection setup and thread scheduling can delay the first byte after the decision to
+ * send. All preconditions are therefore checked here again, and only this check is final. A
+ * condition that is not known to hold blocks the message. A message blocked here has not been
+ * executed. Thread-safe.
  *
  * @since 0.2
  */
@@ -21,28 +21,29 @@
   /**
    * Creates a gate.
    *
-   * @param clock the time; not null
+   * @param clock the clock against which the age of a status is measured; not null
    */
   public SendGate(MillisClock clock) {
     this.clock = clock;
   }
 
   /**
-   * Looks for a reason not to send.
+   * Checks the conditions that apply to a kind of message.
    *
-   * @param kind what is about to be sent; not null
-   * @param facts what is known; asked only until one of them forbids it; not null
-   * @return the first obstacle; empty if it may be sent now
+   * @param kind the kind of message; not null
+   * @param lookup provides the status of the conditions; called only until one forbids the send;
+   *     not null
+   * @return the first obstacle; empty if the message may be sent now
    */
-  public Optional<SendObstacle> check(SendKind kind, ConditionLookup facts) {
+  public Optional<SendObstacle> check(SendKind kind, ConditionLookup lookup) {
     UpperTime now = clock.upper();
     for (SendCondition condition : SendCondition.values()) {
       if (!condition.concerns(kind)) {
         continue;
       }
-      ConditionStatus fact = facts.of(condition, now);
-      if (fact.forbids(now)) {
-        return Optional.of(new SendObstacle(condition, fact.holds()));
+      ConditionStatus status = lookup.of(condition, now);
+      if (status.forbids(now)) {
+        return Optional.of(new SendObstacle(condition, status.holds()));
       }
     }
     return Optional.empty();
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendKind.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/send/SendKind.java
@@ -1,18 +1,18 @@
 package io.cuminvalve.core.send;
 
 /**
- * What is sent to a target.
+ * The kinds of messages to a target.
  *
  * @since 0.2
  */
 public enum SendKind {
 
-  /** A request of a caller. */
+  /** A caller's request. */
   REQUEST,
 
-  /** An order that gives keys to a target, or lets it keep them. */
+  /** An order that grants or renews a lease. */
   GRANT,
 
-  /** An order that takes keys from a target. */
+  /** An order that ends a lease. */
   RELEASE
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/send/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/send/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The last check before the first byte of a request or an order leaves for a target: what has to
- * hold, and how old the knowledge of it may be.
+ * The final check of preconditions, and of the age of their known status, before the first byte of
+ * a request or an order is sent to a target.
  */
 package io.cuminvalve.core.send;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DepartureTrackerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DepartureTrackerTest.java
@@ -41,7 +41,7 @@
     assertThat(other.digest()).isEqualTo(tracker.digest());
   }
 
-  /** Its entry may come back after an outage, and still say that it is ready. */
+  /** The registry entry of a run may reappear after an outage and still say that it is ready. */
   @Test
   void runsAreRememberedForLongerThanTheyAreRegistered() {
     tracker.add(TARGET, 0);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DeputySelectorTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/DeputySelectorTest.java
@@ -24,7 +24,7 @@
     assertThat(DeputySelector.choose(List.of())).isEmpty();
   }
 
-  /** Five data centres, three strong hosts and sixteen weak ones in each. */
+  /** Five data centres with three strong and sixteen weak hosts each. */
   @Test
   void theStrongestOfEachDataCentreAreChosenInTurn() {
     List<Candidate> fleet = new ArrayList<>();
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/TargetRegisterTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/fleet/TargetRegisterTest.java
@@ -49,7 +49,7 @@
     assertThat(register.all()).hasSize(1);
   }
 
-  /** An older copy of the registry shows it as it was before it began to leave. */
+  /** An older copy of the registry shows a target in the state before it began to leave. */
   @Test
   void targetsThatLeaveDoNotComeBackAsTheSameRun() {
     register.put(target("a@10", TargetPhase.DRAINING, 0));
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
@@ -62,16 +62,16 @@
       fleet = new SimulatedFleet(time, ended -> {});
       network = new SimulatedNetwork(time, fleet, invariants, true);
       final SimulatedTermHolder first = addHolder();
-      pass(SETTLE_MS + time.nextMs(0, RENEWED_EVERY_MS));
+      advance(SETTLE_MS + time.nextMs(0, RENEWED_EVERY_MS));
       final SimulatedTarget owner = fleet.running().get(0);
       // Its clocks are not read while the host is suspended.
       first.loseTerm(false);
       first.clock().suspend(SUSPENDED_MS);
-      first.clock().setTimeOfDay(stepMs);
+      first.clock().stepWallClock(stepMs);
       SimulatedTermHolder next = addHolder();
       next.blockPathTo(owner, time.nowMs() + SUSPENDED_MS + AFTERWARDS_MS);
       next.moveFrom(owner);
-      pass(SUSPENDED_MS + AFTERWARDS_MS);
+      advance(SUSPENDED_MS + AFTERWARDS_MS);
     }
 
     Collection<String> violations() {
@@ -85,7 +85,7 @@
       return holder;
     }
 
-    private void pass(long durationMs) {
+    private void advance(long durationMs) {
       long endMs = time.nowMs() + durationMs;
       while (time.nowMs() < endMs) {
         time.advance(STEP_MS);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HostClock.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HostClock.java
@@ -40,7 +40,7 @@
   }
 
   /** Steps the wall clock forward, or back if the step is negative. */
-  void setTimeOfDay(long byMs) {
+  void stepWallClock(long byMs) {
     offsetMs += byMs;
   }
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
@@ -54,17 +54,17 @@
     final long endsMs = TIMINGS.boundMs(TIMINGS.leaseMs());
     timeOfDayMs += 9_000;
     assertThat(grantsOfFirstKeysToB()).isEqualTo(0);
-    pass(1_500);
+    advance(1_500);
     timeOfDayMs -= 9_000;
-    pass(500);
+    advance(500);
     timeOfDayMs += 9_000;
-    pass(endsMs - 2_001);
+    advance(endsMs - 2_001);
     assertThat(grantsOfFirstKeysToB()).isEqualTo(0);
-    pass(1);
+    advance(1);
     assertThat(grantsOfFirstKeysToB()).isEqualTo(1);
   }
 
-  private void pass(long forMs) {
+  private void advance(long forMs) {
     passedMs += forMs;
     timeOfDayMs += forMs;
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
@@ -49,14 +49,14 @@
     SimulatedNetwork network = new SimulatedNetwork(time, fleet, invariants, true);
     SimulatedTermHolder holder =
         new SimulatedTermHolder(1, time, fleet, network, new SimulatedStore(), true);
-    pass(3_000, time, holder, fleet, invariants);
+    advance(3_000, time, holder, fleet, invariants);
     SimulatedTarget owner = fleet.running().get(0);
     int sample = anyHeldBy(owner, time);
     owner.end(time.nowMs());
     SimulatedTarget next = fleet.restartUnderSameName(owner, 0);
     long waitedMs = 0;
     while (waitedMs < LISTED_FOR_MS && fleet.running().stream().noneMatch(holds(sample, time))) {
-      pass(STEP_MS, time, holder, fleet, invariants);
+      advance(STEP_MS, time, holder, fleet, invariants);
       waitedMs += STEP_MS;
     }
     assertThat(invariants.violations()).isEmpty();
@@ -99,20 +99,20 @@
     SimulatedNetwork network = new SimulatedNetwork(time, fleet, invariants, ordersNameTarget);
     SimulatedTermHolder holder =
         new SimulatedTermHolder(1, time, fleet, network, new SimulatedStore(), true);
-    pass(3_000, time, holder, fleet, invariants);
+    advance(3_000, time, holder, fleet, invariants);
     SimulatedTarget owner =
         fleet.running().stream().filter(run -> run.service().equals(SERVICE)).findFirst().get();
     assertThat(
             IntStream.range(0, SimulatedTarget.SAMPLES).anyMatch(i -> owner.holds(i, time.nowMs())))
         .isTrue();
     SimulatedTarget next = fleet.replace(owner, nextService, LISTED_FOR_MS);
-    pass(2 * LISTED_FOR_MS, time, holder, fleet, invariants);
+    advance(2 * LISTED_FOR_MS, time, holder, fleet, invariants);
     assertThat(next.isEnded()).isFalse();
     assertThat(network.refusedGrants() > 0).isEqualTo(ordersNameTarget);
     return invariants;
   }
 
-  private static void pass(
+  private static void advance(
       long durationMs,
       VirtualTime time,
       SimulatedTermHolder holder,
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
@@ -197,8 +197,9 @@
   }
 
   /**
-   * The schedules get to the point: every trouble comes up, and orders for ended runs arrive. In
-   * one of them (seed 6) all those are grants: no release is due while another run has the address.
+   * Verifies the coverage of the schedules: every fault occurs, and orders for terminated runs
+   * reach other runs. With seed 6 these are all grants, as no release is due while another run has
+   * the address.
    */
   @Example
   void everyFaultOccursAndOrdersReachOtherRuns() {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseSimulation.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseSimulation.java
@@ -214,20 +214,20 @@
       clock.suspend(time.nextMs(100, MAX_SUSPENSION_MS));
     } else {
       clockSteps++;
-      setTimeOfDay(clock);
+      stepWallClock(clock);
     }
     if (both) {
       clockSteps++;
-      clock.setTimeOfDay(time.nextMs(100, 9_000));
+      clock.stepWallClock(time.nextMs(100, 9_000));
     }
   }
 
   /** Steps the wall clock forward or back; a time service may reverse the step soon afterwards. */
-  private void setTimeOfDay(HostClock clock) {
+  private void stepWallClock(HostClock clock) {
     long byMs = time.nextMs(100, 9_000) * (time.oneIn(3) ? -1 : 1);
-    clock.setTimeOfDay(byMs);
+    clock.stepWallClock(byMs);
     if (time.oneIn(2)) {
-      time.schedule(time.nextMs(50, 2_000), () -> clock.setTimeOfDay(-byMs));
+      time.schedule(time.nextMs(50, 2_000), () -> clock.stepWallClock(-byMs));
     }
   }
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
@@ -111,10 +111,7 @@
     }
   }
 
-  /**
-   * Makes one target unreachable from this term holder for a random time; its predecessor may still
-   * reach that target.
-   */
+  /** Makes one target unreachable for a random time; the predecessor may still reach it. */
   void blockPathToAnyTarget(long longestMs) {
     unreachable = fleet.anyRunning().map(SimulatedTarget::address).orElse("");
     reachableAtMs = time.nowMs() + time.nextMs(0, longestMs);
@@ -209,9 +206,7 @@
   }
 
   private void planMoves(ServiceId service, LeaseManager manager) {
-    // With reused names, orders may go to a new run only while the term is confirmed, that is,
-    // while
-    // there is no other term holder.
+    // With reused names, orders may reach a new run only while there is no other term holder.
     boolean unconfirmed = fleet.reusesNames() && termLostAt.isPresent();
     manager.setOutage(!storeReachable || unconfirmed);
     List<SimulatedTarget> usable = usable(service);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/send/SendGateTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/send/SendGateTest.java
@@ -17,14 +17,14 @@
   private long nowMs = 10_000;
   private final SendGate gate = new SendGate(() -> nowMs);
   private final Map<SendCondition, ConditionStatus> known = new EnumMap<>(SendCondition.class);
-  private final List<SendCondition> asked = new ArrayList<>();
+  private final List<SendCondition> lookedUp = new ArrayList<>();
 
   private Optional<SendObstacle> check(SendKind kind) {
-    return gate.check(kind, this::factOf);
+    return gate.check(kind, this::statusOf);
   }
 
-  private ConditionStatus factOf(SendCondition condition, UpperTime now) {
-    asked.add(condition);
+  private ConditionStatus statusOf(SendCondition condition, UpperTime now) {
+    lookedUp.add(condition);
     return known.getOrDefault(condition, ConditionStatus.local(true, now));
   }
 
@@ -35,7 +35,7 @@
     assertThat(check(SendKind.RELEASE)).isEmpty();
   }
 
-  /** Each condition alone stops every kind of message that it concerns, and no other. */
+  /** Each condition alone blocks every kind of message that it applies to, and no other. */
   @Test
   void everyUnmetConditionBlocksTheKindsItAppliesTo() {
     for (SendCondition condition : SendCondition.values()) {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** A step before the gate that takes 2 s makes old knowledge older, not newer. */
+  /** A delay of 2 s before the check makes the known status outdated. */
   @Test
   void everyOutdatedConditionBlocksTheKindsItAppliesTo() {
     for (SendCondition condition : SendCondition.values()) {
@@ -77,14 +77,14 @@
   void checkStopsAtTheFirstObstacle() {
     known.put(SendCondition.ATTEMPT_OPEN, ConditionStatus.local(false, new UpperTime(nowMs)));
     assertThat(check(SendKind.REQUEST)).isPresent();
-    assertThat(asked).containsExactly(SendCondition.ATTEMPT_OPEN);
+    assertThat(lookedUp).containsExactly(SendCondition.ATTEMPT_OPEN);
   }
 
-  /** The look at the caller's connection costs a system call: nothing else comes after it. */
+  /** Checking the caller's connection requires a system call, so it comes last. */
   @Test
   void callerConnectionIsCheckedLast() {
     assertThat(check(SendKind.REQUEST)).isEmpty();
-    assertThat(asked.get(asked.size() - 1)).isEqualTo(SendCondition.CALLER_PRESENT);
+    assertThat(lookedUp.get(lookedUp.size() - 1)).isEqualTo(SendCondition.CALLER_PRESENT);
   }
 
   @Test
