--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
@@ -240,15 +240,15 @@
    * them.
    *
    * @param run the current run; not null
-   * @return whether any lease was attributed to it
+   * @return whether it replaces the owner or a previous owner of any range
    */
   public boolean onRestarted(TargetId run) {
-    boolean takesOver = false;
+    boolean replaced = false;
     for (LeasedRange leased : ranges) {
-      takesOver |= leased.onRestarted(run);
+      replaced |= leased.onRestarted(run);
     }
-    routesChanged |= takesOver;
-    return takesOver;
+    routesChanged |= replaced;
+    return replaced;
   }
 
   /**
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
@@ -118,8 +118,8 @@
 
   /** Returns until when the owner may hold the range under any lease. */
   long ownerUntilMs() {
-    long underWayMs = grantInFlight ? inFlightUntilMs : 0;
-    return Math.max(Math.max(leases.untilMs(), underWayMs), foreignUntilMs);
+    long pendingUntilMs = grantInFlight ? inFlightUntilMs : 0;
+    return Math.max(Math.max(leases.untilMs(), pendingUntilMs), foreignUntilMs);
   }
 
   /** Limits foreign leases to the expiry times that an earlier term holder reported. */
@@ -146,11 +146,12 @@
   }
 
   void reassign(TargetId newOwner, long newToken, long version, long nowMs) {
-    long underWayMs = grantInFlight ? inFlightUntilMs : 0;
-    long openUntilMs = grantInFlight ? inFlightUntilMs : unansweredUntilMs;
+    long pendingUntilMs = grantInFlight ? inFlightUntilMs : 0;
+    long openGrantUntilMs = grantInFlight ? inFlightUntilMs : unansweredUntilMs;
     previousOwners.values().forEach(PreviousOwner::restartRelease);
     if (ownerUntilMs() > nowMs) {
-      previousOwners.put(owner, new PreviousOwner(leases, underWayMs, foreignUntilMs, openUntilMs));
+      previousOwners.put(
+          owner, new PreviousOwner(leases, pendingUntilMs, foreignUntilMs, openGrantUntilMs));
     }
     owner = newOwner;
     neededVersion = version;
@@ -163,17 +164,17 @@
   }
 
   /**
-   * Attributes the leases of earlier runs of a target to a later run. Returns whether there were
-   * any.
+   * Replaces earlier runs of a target by a later run, which inherits their leases. Returns whether
+   * any owner or previous owner was replaced.
    */
   boolean onRestarted(TargetId run) {
-    boolean takesOver = false;
+    boolean replaced = false;
     for (TargetId id : List.copyOf(previousOwners.keySet())) {
       if (run.isLaterRunOf(id)) {
         PreviousOwner previous = previousOwners.remove(id);
         previous.onRestarted();
         previousOwners.merge(run, previous, PreviousOwner::mergedWith);
-        takesOver = true;
+        replaced = true;
       }
     }
     if (run.isLaterRunOf(owner)) {
@@ -185,9 +186,9 @@
       owner = run;
       granted = false;
       nextGrantMs = 0;
-      takesOver = true;
+      replaced = true;
     }
-    return takesOver;
+    return replaced;
   }
 
   /**
@@ -216,9 +217,9 @@
     nextGrantMs = 0;
   }
 
-  void onGrantSent(long heldUntil) {
+  void onGrantSent(long untilMs) {
     grantInFlight = true;
-    inFlightUntilMs = heldUntil;
+    inFlightUntilMs = untilMs;
   }
 
   void onGrantEnded(OrderOutcome outcome, long nowMs, long nextMs) {
@@ -242,12 +243,12 @@
     }
   }
 
-  void onReleased(TargetId id, Optional<String> passedOn, long nextMs) {
+  void onReleased(TargetId id, Optional<String> handoverData, long nextMs) {
     PreviousOwner previous = previousOwners.get(id);
     if (previous != null) {
       previous.onReleaseEnded(true, nextMs);
-      if (passedOn.isPresent()) {
-        handover = passedOn;
+      if (handoverData.isPresent()) {
+        handover = handoverData;
       }
     }
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
@@ -36,7 +36,7 @@
   private final long term;
   private final long startedMs;
   private final long registryLagMs;
-  private final long takenOverFrom;
+  private final long predecessorTerm;
   private final boolean storedMayBeOld;
   private long revision;
   private long epoch;
@@ -70,7 +70,7 @@
     startedMs = clock.nowMs();
     registryLagMs = time.nextMs(0, 1_000);
     revision = store.revision();
-    takenOverFrom = store.stored().term();
+    predecessorTerm = store.stored().term();
     for (ServiceId service : SimulatedFleet.SERVICES) {
       managers.put(service, new LeaseManager(service, TIMINGS, () -> (term << 20) + ++tokenCount));
     }
@@ -112,9 +112,9 @@
   }
 
   /** Makes one target unreachable for a random time; the predecessor may still reach it. */
-  void blockPathToAnyTarget(long longestMs) {
+  void blockPathToAnyTarget(long maxMs) {
     unreachable = fleet.anyRunning().map(SimulatedTarget::address).orElse("");
-    reachableAtMs = time.nowMs() + time.nextMs(0, longestMs);
+    reachableAtMs = time.nowMs() + time.nextMs(0, maxMs);
   }
 
   /** Makes a target unreachable from this term holder until a given time. */
@@ -126,7 +126,7 @@
   /** Stops the predecessor, which reports the leases that may still be in force. */
   void askPredecessor(SimulatedTermHolder predecessor) {
     predecessor.stopped = true;
-    if (predecessor.term == takenOverFrom && !storedMayBeOld) {
+    if (predecessor.term == predecessorTerm && !storedMayBeOld) {
       managers.forEach(
           (service, manager) ->
               manager.limitForeignLeases(
