--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/HeldRange.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeasedRange.java
@@ -9,8 +9,8 @@
 import java.util.function.LongSupplier;
 import java.util.function.ToLongFunction;
 
-/** One range, as the holder of the term sees it. */
-final class HeldRange {
+/** The state of one key range and its lease, as known to the term holder. */
+final class LeasedRange {
 
   private final KeyRange range;
   private final Map<TargetId, PreviousOwner> previousOwners = new LinkedHashMap<>();
@@ -18,7 +18,7 @@
   private long token;
   private boolean tokenSent;
 
-  /** The version of the assignments that has to be durable before this one is acted on. */
+  /** The version of the assignments that must be durable before orders for this range are sent. */
   private long neededVersion;
 
   private Optional<String> handover = Optional.empty();
@@ -27,27 +27,28 @@
   private boolean grantInFlight;
   private long nextGrantMs;
 
-  /** What this holder granted the owner, without the grant in flight. */
+  /** The leases that this term holder granted to the owner, without the grant in flight. */
   private GrantedLeases leases = GrantedLeases.NONE;
 
-  /** Until when a lease of the owner may be in force that an earlier holder granted. */
+  /** Until when a lease that an earlier term holder granted to the owner may be in force. */
   private long foreignUntilMs;
 
-  /** The same for the grant in flight. */
+  /** Until when the lease of the grant in flight may be in force. */
   private long inFlightUntilMs;
 
+  /** Until when a grant that got no answer may still be carried out. */
   private long unansweredUntilMs;
 
-  HeldRange(KeyRange range, TargetId owner, long token, long neededVersion) {
+  LeasedRange(KeyRange range, TargetId owner, long token, long neededVersion) {
     this.range = range;
     this.owner = owner;
     this.token = token;
     this.neededVersion = neededVersion;
   }
 
-  /** Returns the same state for other keys: a part of these, or these and their neighbours. */
-  HeldRange withKeys(KeyRange keys) {
-    HeldRange copy = new HeldRange(keys, owner, token, neededVersion);
+  /** Returns a copy of this state for other keys, when ranges are split or merged. */
+  LeasedRange withKeys(KeyRange keys) {
+    LeasedRange copy = new LeasedRange(keys, owner, token, neededVersion);
     previousOwners.forEach((id, previous) -> copy.previousOwners.put(id, previous.copy()));
     copy.handover = handover;
     copy.granted = granted;
@@ -94,7 +95,10 @@
     return stale;
   }
 
-  /** Tells whether nothing is under way, so that the range may be moved without a detour. */
+  /**
+   * Returns whether the range is open and no order is in flight or may still be carried out, so
+   * that it can be moved without waiting for an earlier move.
+   */
   boolean isSettled(long nowMs) {
     return isOpen() && !stale && !grantInFlight && unansweredUntilMs <= nowMs;
   }
@@ -107,24 +111,24 @@
     foreignUntilMs = untilMs;
   }
 
-  /** Returns until when the lease runs that this holder granted last; 0 if it granted none. */
+  /** Returns when the leases that this term holder granted expire; 0 if it granted none. */
   long renewedUntilMs() {
     return leases.untilMs();
   }
 
-  /** Returns until when the owner may hold the range, by whatever lease. */
+  /** Returns until when the owner may hold the range under any lease. */
   long ownerUntilMs() {
-    long underWayMs = grantInFlight ? inFlightUntilMs : 0;
-    return Math.max(Math.max(leases.untilMs(), underWayMs), foreignUntilMs);
+    long pendingUntilMs = grantInFlight ? inFlightUntilMs : 0;
+    return Math.max(Math.max(leases.untilMs(), pendingUntilMs), foreignUntilMs);
   }
 
-  /** An earlier holder told until when a target may hold these keys. */
+  /** Limits foreign leases to the expiry times that an earlier term holder reported. */
   void limitForeign(ToLongFunction<TargetId> untilMs) {
     foreignUntilMs = Math.min(foreignUntilMs, untilMs.applyAsLong(owner));
     previousOwners.forEach((id, previous) -> previous.limitForeign(untilMs.applyAsLong(id)));
   }
 
-  /** The owner probably has its lease from the holder before: requests may go there. */
+  /** Opens the range: the owner probably still has a lease from the previous term holder. */
   void assumeGranted() {
     granted = true;
   }
@@ -133,7 +137,7 @@
     previousOwners.put(id, new PreviousOwner(GrantedLeases.NONE, 0, foreignUntil, 0));
   }
 
-  /** Returns for how long each previous owner may still hold the range. */
+  /** Returns how long each previous owner may still hold the range. */
   List<LeaseBound> bounds(long nowMs) {
     List<LeaseBound> bounds = new ArrayList<>();
     previousOwners.forEach(
@@ -142,11 +146,12 @@
   }
 
   void reassign(TargetId newOwner, long newToken, long version, long nowMs) {
-    long underWayMs = grantInFlight ? inFlightUntilMs : 0;
-    long openUntilMs = grantInFlight ? inFlightUntilMs : unansweredUntilMs;
-    previousOwners.values().forEach(PreviousOwner::restart);
+    long pendingUntilMs = grantInFlight ? inFlightUntilMs : 0;
+    long openGrantUntilMs = grantInFlight ? inFlightUntilMs : unansweredUntilMs;
+    previousOwners.values().forEach(PreviousOwner::restartRelease);
     if (ownerUntilMs() > nowMs) {
-      previousOwners.put(owner, new PreviousOwner(leases, underWayMs, foreignUntilMs, openUntilMs));
+      previousOwners.put(
+          owner, new PreviousOwner(leases, pendingUntilMs, foreignUntilMs, openGrantUntilMs));
     }
     owner = newOwner;
     neededVersion = version;
@@ -154,19 +159,22 @@
     foreignUntilMs = 0;
     unansweredUntilMs = 0;
     handover = Optional.empty();
-    restartWith(newToken);
+    resetWithToken(newToken);
     granted = false;
   }
 
-  /** A later run of a target stands in for those before. Tells whether that changes anything. */
+  /**
+   * Replaces earlier runs of a target by a later run, which inherits their leases. Returns whether
+   * any owner or previous owner was replaced.
+   */
   boolean onRestarted(TargetId run) {
-    boolean takesOver = false;
+    boolean replaced = false;
     for (TargetId id : List.copyOf(previousOwners.keySet())) {
       if (run.isLaterRunOf(id)) {
         PreviousOwner previous = previousOwners.remove(id);
         previous.onRestarted();
-        previousOwners.merge(run, previous, PreviousOwner::joinedWith);
-        takesOver = true;
+        previousOwners.merge(run, previous, PreviousOwner::mergedWith);
+        replaced = true;
       }
     }
     if (run.isLaterRunOf(owner)) {
@@ -178,16 +186,16 @@
       owner = run;
       granted = false;
       nextGrantMs = 0;
-      takesOver = true;
+      replaced = true;
     }
-    return takesOver;
+    return replaced;
   }
 
   /**
-   * Takes another token unless this one was never sent in a grant.
+   * Takes a new token unless the current one was never sent in a grant.
    *
-   * <p>Another run of the owner may answer under the same name. For that run it is no renewal but a
-   * first grant, and its token has to be above that of the run before.
+   * <p>A renewal may reach another run of the owner under the same name. For that run it is a first
+   * grant, so its token must be higher than that of the earlier run.
    */
   void useFreshToken(LongSupplier tokens) {
     if (tokenSent) {
@@ -196,12 +204,12 @@
     tokenSent = true;
   }
 
-  void renewSoon() {
+  void makeGrantDue() {
     nextGrantMs = 0;
   }
 
-  /** Goes on with the same owner under a higher token. */
-  void restartWith(long newToken) {
+  /** Continues under a higher token; the next grant is due at once. */
+  void resetWithToken(long newToken) {
     token = newToken;
     tokenSent = false;
     stale = false;
@@ -209,9 +217,9 @@
     nextGrantMs = 0;
   }
 
-  void onGrantSent(long heldUntil) {
+  void onGrantSent(long untilMs) {
     grantInFlight = true;
-    inFlightUntilMs = heldUntil;
+    inFlightUntilMs = untilMs;
   }
 
   void onGrantEnded(OrderOutcome outcome, long nowMs, long nextMs) {
@@ -230,60 +238,69 @@
       }
       case REJECTED, OTHER_TARGET -> granted = false;
       default -> {
-        // Nothing was sent: the lease runs on as it is.
+        // Nothing was sent: the lease is unchanged.
       }
     }
   }
 
-  void onReleased(TargetId id, Optional<String> passedOn, long nextMs) {
+  void onReleased(TargetId id, Optional<String> handoverData, long nextMs) {
     PreviousOwner previous = previousOwners.get(id);
     if (previous != null) {
       previous.onReleaseEnded(true, nextMs);
-      if (passedOn.isPresent()) {
-        handover = passedOn;
+      if (handoverData.isPresent()) {
+        handover = handoverData;
       }
     }
   }
 
-  /** The target is said to have ended: it is asked at once, which proves it or not. */
-  void askSoon(TargetId id) {
+  /**
+   * Makes the next order to a target due at once, after a report that it has terminated. The answer
+   * shows whether it has.
+   */
+  void makeOrdersDue(TargetId id) {
     PreviousOwner previous = previousOwners.get(id);
     if (previous != null) {
-      previous.releaseSoon();
+      previous.makeReleaseDue();
     }
     if (owner.equals(id)) {
-      renewSoon();
+      makeGrantDue();
     }
   }
 
-  /** Another target answered to an order for this one that was sent then. */
+  /**
+   * Drops the leases that cannot be in force any longer because another target answered to an order
+   * for this one.
+   *
+   * @param id the target that the order was for
+   * @param sentMs when the order was sent
+   */
   void onOtherTarget(TargetId id, long sentMs) {
     PreviousOwner previous = previousOwners.get(id);
     if (previous != null) {
       previous.onOtherTarget(sentMs);
     }
     if (owner.equals(id)) {
-      leases = leases.withoutThoseEndedBefore(sentMs);
+      leases = leases.withoutGrantsEndedBefore(sentMs);
       foreignUntilMs = 0;
     }
   }
 
-  /** Drops the previous owners that hold nothing any more. Tells whether there were any. */
-  boolean dropFreeOwners(long nowMs) {
-    return previousOwners.values().removeIf(previous -> previous.isFree(nowMs));
+  /** Removes previous owners that no longer hold the range. Returns whether there were any. */
+  boolean removeOwnersWithoutLease(long nowMs) {
+    return previousOwners.values().removeIf(previous -> previous.holdsNoLease(nowMs));
   }
 
-  /** Tells whether a neighbour is in the same state, so that one lease can serve both. */
-  boolean joins(HeldRange next, long nowMs) {
+  /** Returns whether the next range is adjacent and one lease of the same owner can cover both. */
+  boolean canMergeWith(LeasedRange next, long nowMs) {
     return owner.equals(next.owner)
         && isSettled(nowMs)
         && next.isSettled(nowMs)
         && range.last() + 1 == next.range.first();
   }
 
-  HeldRange joinedWith(HeldRange next) {
-    HeldRange joined = withKeys(new KeyRange(range.first(), next.range.last()));
-    joined.leases = leases.joinedWith(next.leases);
+  LeasedRange mergedWith(LeasedRange next) {
+    LeasedRange joined = withKeys(new KeyRange(range.first(), next.range.last()));
+    joined.leases = leases.mergedWith(next.leases);
     joined.foreignUntilMs = Math.max(foreignUntilMs, next.foreignUntilMs);
     joined.neededVersion = Math.max(neededVersion, next.neededVersion);
     return joined;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HiddenSuspensionTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The host of a holder is suspended for longer than any lease runs. Meanwhile the next holder takes
- * over; it cannot reach one of the targets, and gives that one's keys away once its leases have run
- * out.
+ * Suspends the host of a term holder for longer than any lease. Meanwhile the next term holder
+ * takes over; it cannot reach one of the targets and reassigns that target's keys once its leases
+ * have expired.
  */
 class HiddenSuspensionTest {
 
@@ -19,7 +19,7 @@
   private static final long SUSPENDED_MS = 25_000;
   private static final long AFTERWARDS_MS = 5_000;
 
-  /** Renewals are sent so often: the suspension begins at any moment between two of them. */
+  /** The renewal interval: the suspension begins at a random time within it. */
   private static final long RENEWED_EVERY_MS = 1_000;
 
   private static final long SEEDS = 50;
@@ -30,8 +30,9 @@
   }
 
   /**
-   * Guards against two owners after a suspension during which the time of day is set back by as
-   * much: no clock of the host shows it, so the holder renews leases that have run out.
+   * Guards against two owners after a suspension during which the wall clock is set back by the
+   * same amount: no clock of the host shows the suspension, so the term holder renews expired
+   * leases.
    */
   @Test
   void suspensionsThatStepsBackHideStopTheHolder() {
@@ -46,49 +47,50 @@
     assertWithMessage("violations in %s schedules", SEEDS).that(broken).isEmpty();
   }
 
-  /** A holder whose host is suspended, and the next one. */
+  /** A schedule with a term holder whose host is suspended, and its successor. */
   private static final class Suspension {
 
     private final VirtualTime time;
-    private final LeaseFleet fleet;
-    private final LeasePromises promises = new LeasePromises(LeaseFleet.SERVICES);
-    private final LeaseNetwork network;
-    private final LeaseStore store = new LeaseStore();
-    private final List<LeaseHolder> holders = new ArrayList<>();
+    private final SimulatedFleet fleet;
+    private final LeaseInvariants invariants = new LeaseInvariants(SimulatedFleet.SERVICES);
+    private final SimulatedNetwork network;
+    private final SimulatedStore store = new SimulatedStore();
+    private final List<SimulatedTermHolder> holders = new ArrayList<>();
 
     Suspension(long seed, long stepMs) {
       time = new VirtualTime(seed);
-      fleet = new LeaseFleet(time, ended -> {});
-      network = new LeaseNetwork(time, fleet, promises, true);
-      final LeaseHolder first = addHolder();
-      pass(SETTLE_MS + time.between(0, RENEWED_EVERY_MS));
-      final LeaseTarget owner = fleet.living().get(0);
-      // While it is suspended nobody reads its clocks.
-      first.cutOff(false);
+      fleet = new SimulatedFleet(time, ended -> {});
+      network = new SimulatedNetwork(time, fleet, invariants, true);
+      final SimulatedTermHolder first = addHolder();
+      advance(SETTLE_MS + time.nextMs(0, RENEWED_EVERY_MS));
+      final SimulatedTarget owner = fleet.running().get(0);
+      // Its clocks are not read while the host is suspended.
+      first.loseTerm(false);
       first.clock().suspend(SUSPENDED_MS);
-      first.clock().setTimeOfDay(stepMs);
-      LeaseHolder next = addHolder();
-      next.cutFrom(owner, time.nowMs() + SUSPENDED_MS + AFTERWARDS_MS);
+      first.clock().stepWallClock(stepMs);
+      SimulatedTermHolder next = addHolder();
+      next.blockPathTo(owner, time.nowMs() + SUSPENDED_MS + AFTERWARDS_MS);
       next.moveFrom(owner);
-      pass(SUSPENDED_MS + AFTERWARDS_MS);
+      advance(SUSPENDED_MS + AFTERWARDS_MS);
     }
 
     Collection<String> violations() {
-      return promises.violations().values();
+      return invariants.violations().values();
     }
 
-    private LeaseHolder addHolder() {
-      LeaseHolder holder = new LeaseHolder(holders.size() + 1, time, fleet, network, store, true);
+    private SimulatedTermHolder addHolder() {
+      SimulatedTermHolder holder =
+          new SimulatedTermHolder(holders.size() + 1, time, fleet, network, store, true);
       holders.add(holder);
       return holder;
     }
 
-    private void pass(long durationMs) {
+    private void advance(long durationMs) {
       long endMs = time.nowMs() + durationMs;
       while (time.nowMs() < endMs) {
-        time.pass(STEP_MS);
-        holders.forEach(LeaseHolder::step);
-        promises.check(fleet.living(), time.nowMs());
+        time.advance(STEP_MS);
+        holders.forEach(SimulatedTermHolder::step);
+        invariants.check(fleet.running(), time.nowMs());
       }
     }
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HostClock.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/HostClock.java
@@ -4,24 +4,25 @@
 import io.cuminvalve.kernel.SuspensionClock;
 import io.cuminvalve.kernel.UpperTime;
 
-/** The clock of one host over virtual time: its time of day is set, and it is suspended. */
+/** The clock of a simulated host, whose wall clock can be stepped and which can be suspended. */
 final class HostClock implements MillisClock {
 
   private final VirtualTime time;
   private final SuspensionClock clock;
   private long offsetMs;
   private long suspendedMs;
-  private long sleepsSinceMs;
-  private long sleepsUntilMs;
-  private boolean gained;
+  private long suspendedFromMs;
+  private long suspendedUntilMs;
+  private boolean clockGained;
 
   HostClock(VirtualTime time) {
     this.time = time;
-    this.clock = new SuspensionClock(this::steadyMs, this::timeOfDayMs, forMs -> gained = true);
+    this.clock =
+        new SuspensionClock(this::steadyMs, this::timeOfDayMs, forMs -> clockGained = true);
   }
 
   private long steadyMs() {
-    return time.nowMs() - suspendedMs - (isAsleep() ? time.nowMs() - sleepsSinceMs : 0);
+    return time.nowMs() - suspendedMs - (isSuspended() ? time.nowMs() - suspendedFromMs : 0);
   }
 
   private long timeOfDayMs() {
@@ -38,38 +39,41 @@
     return clock.upper();
   }
 
-  /** The time of day is set ahead, or back if it is negative. */
-  void setTimeOfDay(long byMs) {
+  /** Steps the wall clock forward, or back if the step is negative. */
+  void stepWallClock(long byMs) {
     offsetMs += byMs;
   }
 
-  /** The host stands still from now on. */
+  /** Suspends the host from now on, unless it is suspended already. */
   void suspend(long forMs) {
-    if (!isAsleep()) {
-      sleepsSinceMs = time.nowMs();
-      sleepsUntilMs = time.nowMs() + forMs;
-      time.later(forMs, () -> suspendedMs += forMs);
+    if (!isSuspended()) {
+      suspendedFromMs = time.nowMs();
+      suspendedUntilMs = time.nowMs() + forMs;
+      time.schedule(forMs, () -> suspendedMs += forMs);
     }
   }
 
-  boolean isAsleep() {
-    return time.nowMs() < sleepsUntilMs;
+  boolean isSuspended() {
+    return time.nowMs() < suspendedUntilMs;
   }
 
-  /** Runs something now, or when the host wakes up. */
-  void awake(Runnable action) {
-    if (isAsleep()) {
-      time.later(sleepsUntilMs - time.nowMs(), action);
+  /** Runs an action now, or when the host resumes. */
+  void runWhenAwake(Runnable action) {
+    if (isSuspended()) {
+      time.schedule(suspendedUntilMs - time.nowMs(), action);
     } else {
       action.run();
     }
   }
 
-  /** Tells, once, whether the time of day has gained: the host may have been suspended. */
-  boolean takeGain() {
+  /**
+   * Returns, once per occurrence, whether the wall clock has gained on the steady clock: the host
+   * may have been suspended.
+   */
+  boolean takeClockGain() {
     clock.upper();
-    boolean taken = gained;
-    gained = false;
+    boolean taken = clockGained;
+    clockGained = false;
     return taken;
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseClockTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Leases at targets while the time of day of the holder's host is set. */
+/** Checks leases while the wall clock of the term holder's host is stepped. */
 class LeaseClockTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
@@ -28,48 +28,49 @@
   private long tokens;
   private final SuspensionClock clock =
       new SuspensionClock(() -> passedMs, () -> timeOfDayMs, forMs -> {});
-  private final LeaseDesk desk = new LeaseDesk(SERVICE, TIMINGS, () -> ++tokens);
+  private final LeaseManager manager = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
 
   @BeforeEach
   void partition() {
-    desk.partition(List.of(target(A), target(B)));
-    desk.onWritten(desk.version());
-    desk.due(clock.nowMs(), target -> true)
+    manager.partition(List.of(target(A), target(B)));
+    manager.onWritten(manager.version());
+    manager
+        .due(clock.nowMs(), target -> true)
         .forEach(
             order ->
-                desk.onGrantEnded(
+                manager.onGrantEnded(
                     (LeaseOrder.Grant) order, OrderOutcome.DONE, clock.nowMs(), clock.nowMs()));
   }
 
-  /** Guards against keys that are granted to a second target since the time of day was set. */
+  /** Guards against keys that are granted to a second target after a step of the wall clock. */
   @Test
   void leasesRunOnWhenTheTimeOfDayIsSetAhead() {
-    desk.move(FIRST_KEYS, B, clock.nowMs());
-    desk.onWritten(desk.version());
-    for (LeaseOrder order : desk.due(clock.nowMs(), target -> true)) {
-      desk.onReleaseEnded(
+    manager.move(FIRST_KEYS, B, clock.nowMs());
+    manager.onWritten(manager.version());
+    for (LeaseOrder order : manager.due(clock.nowMs(), target -> true)) {
+      manager.onReleaseEnded(
           (LeaseOrder.Release) order, OrderOutcome.UNANSWERED, Optional.empty(), clock.nowMs());
     }
     final long endsMs = TIMINGS.boundMs(TIMINGS.leaseMs());
     timeOfDayMs += 9_000;
     assertThat(grantsOfFirstKeysToB()).isEqualTo(0);
-    pass(1_500);
+    advance(1_500);
     timeOfDayMs -= 9_000;
-    pass(500);
+    advance(500);
     timeOfDayMs += 9_000;
-    pass(endsMs - 2_001);
+    advance(endsMs - 2_001);
     assertThat(grantsOfFirstKeysToB()).isEqualTo(0);
-    pass(1);
+    advance(1);
     assertThat(grantsOfFirstKeysToB()).isEqualTo(1);
   }
 
-  private void pass(long forMs) {
+  private void advance(long forMs) {
     passedMs += forMs;
     timeOfDayMs += forMs;
   }
 
   private long grantsOfFirstKeysToB() {
-    return desk.due(clock.nowMs(), target -> true).stream()
+    return manager.due(clock.nowMs(), target -> true).stream()
         .filter(LeaseOrder.Grant.class::isInstance)
         .filter(order -> order.target().equals(B) && order.range().contains(FIRST_KEYS))
         .count();
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeasePromises.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseInvariants.java
@@ -7,10 +7,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Looks at what runs of targets hold, and keeps the first violation of each promise. */
-final class LeasePromises {
+/**
+ * Checks the leases that runs of targets hold and records the first violation of each invariant.
+ */
+final class LeaseInvariants {
 
-  /** What must not happen. */
+  /** The invariant that was violated. */
   enum Violation {
     TWO_OWNERS,
     TOKEN_NOT_ABOVE_THAT_OF_ANOTHER_RUN,
@@ -20,31 +22,34 @@
   private final Map<Violation, String> violations = new EnumMap<>(Violation.class);
   private final Map<ServiceId, OwnedKeys> owned = new LinkedHashMap<>();
 
-  LeasePromises(Collection<ServiceId> services) {
+  LeaseInvariants(Collection<ServiceId> services) {
     services.forEach(service -> owned.put(service, new OwnedKeys(service)));
   }
 
-  /** Returns the first violation of each kind; empty if all promises were kept. */
+  /** Returns the first violation of each kind; empty if there was none. */
   Map<Violation, String> violations() {
     return violations;
   }
 
-  /** Returns how many keys of each service had an owner at most at one time, the least of all. */
-  int ownedAtMost() {
-    return owned.values().stream().mapToInt(keys -> keys.ownedAtMost).min().orElse(0);
+  /**
+   * Returns the maximum number of sampled keys that had an owner at the same time, for the service
+   * with the lowest maximum.
+   */
+  int maxOwnedKeys() {
+    return owned.values().stream().mapToInt(keys -> keys.maxOwnedKeys).min().orElse(0);
   }
 
-  /** A run has carried out a grant; perhaps so late that it holds nothing by it. */
-  void onGranted(LeaseTarget run, LeaseOrder.Grant grant, long nowMs) {
-    for (int sample = 0; sample < LeaseTarget.SAMPLES; sample++) {
-      if (grant.range().contains(sample * LeaseTarget.STEP) && run.holds(sample, nowMs)) {
+  /** Records a grant that a run carried out, perhaps after its lease had expired. */
+  void onGranted(SimulatedTarget run, LeaseOrder.Grant grant, long nowMs) {
+    for (int sample = 0; sample < SimulatedTarget.SAMPLES; sample++) {
+      if (grant.range().contains(sample * SimulatedTarget.STEP) && run.holds(sample, nowMs)) {
         owned.get(grant.service()).onTaken(run, sample, grant.token(), nowMs);
       }
     }
   }
 
-  /** Looks at every key. */
-  void check(Collection<LeaseTarget> runs, long nowMs) {
+  /** Checks every sampled key. */
+  void check(Collection<SimulatedTarget> runs, long nowMs) {
     owned.values().forEach(keys -> keys.check(runs, nowMs));
   }
 
@@ -52,24 +57,25 @@
     violations.putIfAbsent(violation, nowMs + " ms: " + message);
   }
 
-  /** The keys of one service. */
+  /** The sampled keys of one service. */
   private final class OwnedKeys {
 
     private final ServiceId service;
-    private final Map<Integer, Map<LeaseTarget, Long>> tokens = new HashMap<>();
-    private int ownedAtMost;
+    private final Map<Integer, Map<SimulatedTarget, Long>> tokens = new HashMap<>();
+    private int maxOwnedKeys;
 
     OwnedKeys(ServiceId service) {
       this.service = service;
     }
 
-    void onTaken(LeaseTarget run, int sample, long token, long nowMs) {
+    void onTaken(SimulatedTarget run, int sample, long token, long nowMs) {
       String taken =
-          run + " took key " + sample * LeaseTarget.STEP + " of " + service + " under " + token;
+          run + " took key " + sample * SimulatedTarget.STEP + " of " + service + " under " + token;
       if (!run.service().equals(service)) {
         report(Violation.KEYS_OF_ANOTHER_SERVICE, taken, nowMs);
       }
-      Map<LeaseTarget, Long> before = tokens.computeIfAbsent(sample, key -> new LinkedHashMap<>());
+      Map<SimulatedTarget, Long> before =
+          tokens.computeIfAbsent(sample, key -> new LinkedHashMap<>());
       before.forEach(
           (other, othersToken) -> {
             if (!other.equals(run) && othersToken >= token) {
@@ -82,23 +88,23 @@
       before.merge(run, token, Math::max);
     }
 
-    void check(Collection<LeaseTarget> runs, long nowMs) {
+    void check(Collection<SimulatedTarget> runs, long nowMs) {
       int ownedNow = 0;
-      for (int sample = 0; sample < LeaseTarget.SAMPLES; sample++) {
-        LeaseTarget owner = null;
-        for (LeaseTarget run : runs) {
-          if (!run.holds(sample, nowMs) || !service.equals(run.heldFor(sample))) {
+      for (int sample = 0; sample < SimulatedTarget.SAMPLES; sample++) {
+        SimulatedTarget owner = null;
+        for (SimulatedTarget run : runs) {
+          if (!run.holds(sample, nowMs) || !service.equals(run.lastGrantedFor(sample))) {
             continue;
           }
           if (owner != null) {
-            String key = "key " + sample * LeaseTarget.STEP + " of " + service;
+            String key = "key " + sample * SimulatedTarget.STEP + " of " + service;
             report(Violation.TWO_OWNERS, owner + " and " + run + " hold " + key, nowMs);
           }
           owner = run;
         }
         ownedNow += owner == null ? 0 : 1;
       }
-      ownedAtMost = Math.max(ownedAtMost, ownedNow);
+      maxOwnedKeys = Math.max(maxOwnedKeys, ownedNow);
     }
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseRestartTest.java
@@ -3,77 +3,75 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.cuminvalve.core.id.ServiceId;
-import io.cuminvalve.core.lease.LeasePromises.Violation;
+import io.cuminvalve.core.lease.LeaseInvariants.Violation;
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 /**
- * What was seen: two runs of a target had the same keys under the same token.
+ * Guards against two runs of a target that hold the same keys under the same token.
  *
- * <p>How it came about: a target crashed, and another run started at its address a second later.
- * The registry still listed the ended run. The holder's renewal for that run reached the next one,
- * which knew no token yet and took it for a grant. The holder counted the renewal as done.
+ * <p>A target crashed, and another run started at its address a second later while the registry
+ * still listed the terminated run. The renewal for that run reached the next one, which knew no
+ * token yet and accepted it as a grant; the term holder counted the renewal as done. Orders went to
+ * an address without naming their target, so neither side could detect the mistake. Simulations
+ * that deliver orders by target id cannot reproduce this.
  *
- * <p>Cause: orders went to an address and did not say for which run they were. A run could not tell
- * that it was another one, and the holder believed an answer that was not that of its target. The
- * generated schedules missed it: there, orders were delivered by the target's id.
- *
- * <p>Proof: the same schedule with orders that name no target broke the promise, and still breaks
- * the one on keys of another service whose run takes the address; with orders that name it nothing
- * is broken. Since then each grant has a token of its own: where the next run has the same name,
- * that alone keeps the promise.
+ * <p>Orders therefore name their target, and each grant carries a new token, which alone protects
+ * against a next run under the same name. Without the target's name, a run of another service that
+ * takes the address still accepts keys of the wrong service.
  */
 class LeaseRestartTest {
 
-  private static final ServiceId SERVICE = LeaseFleet.SERVICES.get(0);
-  private static final ServiceId OTHER_SERVICE = LeaseFleet.SERVICES.get(1);
+  private static final ServiceId SERVICE = SimulatedFleet.SERVICES.get(0);
+  private static final ServiceId OTHER_SERVICE = SimulatedFleet.SERVICES.get(1);
   private static final long STEP_MS = 25;
 
-  /** Users expect keys of a lost target to be served again within this time. */
-  private static final long WITHIN_MS = 1_000;
+  /** The time within which keys of a lost target have to be served again. */
+  private static final long MAX_UNAVAILABLE_MS = 1_000;
 
   private static final long LISTED_FOR_MS = 6_000;
 
-  /** No name tells two runs apart that have the same one; then the token still does. */
+  /** The name does not distinguish two runs with the same name, but the token does. */
   @Test
   void renewalsThatReachTheNextRunHaveTokensAboveThoseOfTheRunBefore() {
-    LeasePromises promises = restart(SERVICE, false);
-    assertThat(promises.ownedAtMost()).isEqualTo(LeaseTarget.SAMPLES);
-    assertThat(promises.violations())
+    LeaseInvariants invariants = restart(SERVICE, false);
+    assertThat(invariants.maxOwnedKeys()).isEqualTo(SimulatedTarget.SAMPLES);
+    assertThat(invariants.violations())
         .doesNotContainKey(Violation.TOKEN_NOT_ABOVE_THAT_OF_ANOTHER_RUN);
   }
 
   @Test
   void targetsThatStartAgainUnderTheirNameGetTheirKeysAgain() {
     VirtualTime time = new VirtualTime(1);
-    LeaseFleet fleet = new LeaseFleet(time, ended -> {}, true);
-    LeasePromises promises = new LeasePromises(LeaseFleet.SERVICES);
-    LeaseNetwork network = new LeaseNetwork(time, fleet, promises, true);
-    LeaseHolder holder = new LeaseHolder(1, time, fleet, network, new LeaseStore(), true);
-    pass(3_000, time, holder, fleet, promises);
-    LeaseTarget owner = fleet.living().get(0);
+    SimulatedFleet fleet = new SimulatedFleet(time, ended -> {}, true);
+    LeaseInvariants invariants = new LeaseInvariants(SimulatedFleet.SERVICES);
+    SimulatedNetwork network = new SimulatedNetwork(time, fleet, invariants, true);
+    SimulatedTermHolder holder =
+        new SimulatedTermHolder(1, time, fleet, network, new SimulatedStore(), true);
+    advance(3_000, time, holder, fleet, invariants);
+    SimulatedTarget owner = fleet.running().get(0);
     int sample = anyHeldBy(owner, time);
     owner.end(time.nowMs());
-    LeaseTarget next = fleet.startAgain(owner, 0);
+    SimulatedTarget next = fleet.restartUnderSameName(owner, 0);
     long waitedMs = 0;
-    while (waitedMs < LISTED_FOR_MS && fleet.living().stream().noneMatch(holds(sample, time))) {
-      pass(STEP_MS, time, holder, fleet, promises);
+    while (waitedMs < LISTED_FOR_MS && fleet.running().stream().noneMatch(holds(sample, time))) {
+      advance(STEP_MS, time, holder, fleet, invariants);
       waitedMs += STEP_MS;
     }
-    assertThat(promises.violations()).isEmpty();
+    assertThat(invariants.violations()).isEmpty();
     assertThat(next.isEnded()).isFalse();
-    assertThat(waitedMs).isAtMost(WITHIN_MS);
+    assertThat(waitedMs).isAtMost(MAX_UNAVAILABLE_MS);
   }
 
-  private static int anyHeldBy(LeaseTarget owner, VirtualTime time) {
-    return IntStream.range(0, LeaseTarget.SAMPLES)
+  private static int anyHeldBy(SimulatedTarget owner, VirtualTime time) {
+    return IntStream.range(0, SimulatedTarget.SAMPLES)
         .filter(sample -> owner.holds(sample, time.nowMs()))
         .findFirst()
         .orElseThrow();
   }
 
-  private static Predicate<LeaseTarget> holds(int sample, VirtualTime time) {
+  private static Predicate<SimulatedTarget> holds(int sample, VirtualTime time) {
     return run -> run.holds(sample, time.nowMs());
   }
 
@@ -93,36 +91,38 @@
     assertThat(restart(OTHER_SERVICE, true).violations()).isEmpty();
   }
 
-  /** An owner ends, another run has its address at once; the holder learns it from nobody. */
-  private static LeasePromises restart(ServiceId nextService, boolean targetsAreNamed) {
+  /** Replaces an owner by another run at its address without a notice to the term holder. */
+  private static LeaseInvariants restart(ServiceId nextService, boolean ordersNameTarget) {
     VirtualTime time = new VirtualTime(1);
-    LeaseFleet fleet = new LeaseFleet(time, ended -> {});
-    LeasePromises promises = new LeasePromises(LeaseFleet.SERVICES);
-    LeaseNetwork network = new LeaseNetwork(time, fleet, promises, targetsAreNamed);
-    LeaseHolder holder = new LeaseHolder(1, time, fleet, network, new LeaseStore(), true);
-    pass(3_000, time, holder, fleet, promises);
-    LeaseTarget owner =
-        fleet.living().stream().filter(run -> run.service().equals(SERVICE)).findFirst().get();
-    assertThat(IntStream.range(0, LeaseTarget.SAMPLES).anyMatch(i -> owner.holds(i, time.nowMs())))
+    SimulatedFleet fleet = new SimulatedFleet(time, ended -> {});
+    LeaseInvariants invariants = new LeaseInvariants(SimulatedFleet.SERVICES);
+    SimulatedNetwork network = new SimulatedNetwork(time, fleet, invariants, ordersNameTarget);
+    SimulatedTermHolder holder =
+        new SimulatedTermHolder(1, time, fleet, network, new SimulatedStore(), true);
+    advance(3_000, time, holder, fleet, invariants);
+    SimulatedTarget owner =
+        fleet.running().stream().filter(run -> run.service().equals(SERVICE)).findFirst().get();
+    assertThat(
+            IntStream.range(0, SimulatedTarget.SAMPLES).anyMatch(i -> owner.holds(i, time.nowMs())))
         .isTrue();
-    LeaseTarget next = fleet.replace(owner, nextService, LISTED_FOR_MS);
-    pass(2 * LISTED_FOR_MS, time, holder, fleet, promises);
+    SimulatedTarget next = fleet.replace(owner, nextService, LISTED_FOR_MS);
+    advance(2 * LISTED_FOR_MS, time, holder, fleet, invariants);
     assertThat(next.isEnded()).isFalse();
-    assertThat(network.refusedGrants() > 0).isEqualTo(targetsAreNamed);
-    return promises;
+    assertThat(network.refusedGrants() > 0).isEqualTo(ordersNameTarget);
+    return invariants;
   }
 
-  private static void pass(
+  private static void advance(
       long durationMs,
       VirtualTime time,
-      LeaseHolder holder,
-      LeaseFleet fleet,
-      LeasePromises promises) {
+      SimulatedTermHolder holder,
+      SimulatedFleet fleet,
+      LeaseInvariants invariants) {
     long endMs = time.nowMs() + durationMs;
     while (time.nowMs() < endMs) {
-      time.pass(STEP_MS);
+      time.advance(STEP_MS);
       holder.step();
-      promises.check(fleet.living(), time.nowMs());
+      invariants.check(fleet.running(), time.nowMs());
     }
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseScheduleTest.java
@@ -3,8 +3,8 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import io.cuminvalve.core.lease.LeasePromises.Violation;
-import io.cuminvalve.core.lease.LeaseWorld.Trouble;
+import io.cuminvalve.core.lease.LeaseInvariants.Violation;
+import io.cuminvalve.core.lease.LeaseSimulation.InjectedFault;
 import java.util.EnumSet;
 import java.util.HashSet;
 import java.util.List;
@@ -14,9 +14,9 @@
 import net.jqwik.api.Property;
 
 /**
- * Runs generated schedules of faults against holders and targets of two services.
+ * Runs generated fault schedules against term holders and the targets of two services.
  *
- * <p>Orders go to addresses. {@link LeaseRestartTest} tells why that matters.
+ * <p>Orders are delivered by address; {@link LeaseRestartTest} shows a failure that depends on it.
  */
 class LeaseScheduleTest {
 
@@ -27,184 +27,192 @@
 
   @Property(tries = 150, seed = "7")
   void noKeyHasTwoOwners(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true);
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
-    assertThat(world.promises().ownedAtMost()).isGreaterThan(LeaseTarget.SAMPLES / 2);
+    LeaseSimulation simulation = new LeaseSimulation(seed, true);
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
+    assertThat(simulation.invariants().maxOwnedKeys()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
   }
 
   /**
-   * Seen: in a schedule with many changes of the holder, no more than 5 of 16 keys of a service
-   * were owned at once in a minute.
+   * Guards against keys that stay closed when the term holder changes often: in this schedule, no
+   * more than 5 of the 16 sampled keys of a service had an owner at any time in a minute.
    *
-   * <p>How: nearly all others waited for a previous owner that had ended. A holder that never saw
-   * that target listed had no address to ask, so it waited for the longest lease of any earlier
-   * holder, 20 s, and so did the next one from its own start. Now addresses and what is left of
-   * that time are stored with the assignments.
+   * <p>Nearly all others waited for a previous owner that had terminated. A term holder that never
+   * saw that target registered had no address for the release, so it waited for the longest lease
+   * of any earlier term holder, 20 s, and its successor waited as long again. Addresses and the
+   * remaining time are therefore stored with the assignments.
    */
   @Example
   void keysOfEndedTargetsOpenAlthoughHoldersChangeOften() {
-    LeaseWorld world = new LeaseWorld(-8_500_642_725_582_650_421L, true);
-    world.run(DURATION_MS);
-    assertThat(world.promises().ownedAtMost()).isGreaterThan(LeaseTarget.SAMPLES / 2);
+    LeaseSimulation simulation = new LeaseSimulation(-8_500_642_725_582_650_421L, true);
+    simulation.run(DURATION_MS);
+    assertThat(simulation.invariants().maxOwnedKeys()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
   }
 
   /**
-   * A target starts again under its name: what the holder sends to the run before reaches the next
-   * one, and neither can tell.
+   * Targets restart under the same name: orders for the earlier run reach the next one, and neither
+   * it nor the term holder can detect that.
    */
   @Property(tries = 150, seed = "11")
-  void noKeyHasTwoOwnersThoughNamesAreUsedAgain(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true, true);
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
-    assertThat(world.promises().ownedAtMost()).isGreaterThan(LeaseTarget.SAMPLES / 2);
+  void noKeyHasTwoOwnersWithReusedNames(@ForAll long seed) {
+    LeaseSimulation simulation = new LeaseSimulation(seed, true, true);
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
+    assertThat(simulation.invariants().maxOwnedKeys()).isGreaterThan(SimulatedTarget.SAMPLES / 2);
   }
 
   /**
-   * Seen: two targets held a key after the holder had learned that its owner had ended.
+   * Guards against two owners of a key after a notice that its owner has terminated.
    *
-   * <p>How: the news was late. The next run under the owner's name was at its address by then, and
-   * took a grant that was under way to the owner. The holder took all leases of the owner for void
-   * and gave the key to another target. Now grants that were sent since the owner was last found
-   * absent still count.
+   * <p>The notice was late: the next run under the owner's name was already at its address and
+   * accepted a grant that was in flight to the owner. The term holder regarded all leases of the
+   * owner as void and gave the key to another target. Grants sent since the owner was last found
+   * absent must still count.
    */
   @Example
-  void grantsUnderWayToAnEndedTargetMayReachTheNextRunOfItsName() {
-    LeaseWorld world = new LeaseWorld(1097, true, true);
-    world.run(DURATION_MS);
-    assertThat(world.promises().violations()).isEmpty();
+  void grantsInFlightToAnEndedTargetMayReachTheNextRunOfItsName() {
+    LeaseSimulation simulation = new LeaseSimulation(1097, true, true);
+    simulation.run(DURATION_MS);
+    assertThat(simulation.invariants().violations()).isEmpty();
   }
 
-  /** Clocks of holders jump, and holders sleep and wake up as if nothing had happened. */
+  /** Wall clocks of term holders are stepped, and their hosts are suspended and resumed. */
   @Property(tries = 150, seed = "17")
-  void noKeyHasTwoOwnersThoughClocksAreSetAndHostsSuspended(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true).withClockFaults();
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
-    assertThat(world.suspensions()).isGreaterThan(0);
-    assertThat(world.clockSteps()).isGreaterThan(0);
+  void noKeyHasTwoOwnersWithClockFaults(@ForAll long seed) {
+    LeaseSimulation simulation = new LeaseSimulation(seed, true).withClockFaults();
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
+    assertThat(simulation.suspensions()).isGreaterThan(0);
+    assertThat(simulation.clockSteps()).isGreaterThan(0);
   }
 
-  /** All of it at once: names that are used again, older stores, clocks, suspended hosts. */
+  /** Combines reused names, store rollbacks, clock steps and suspended hosts. */
   @Property(tries = 150, seed = "19")
-  void noKeyHasTwoOwnersWhateverComesTogether(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true, true).withOlderStores(true).withClockFaults();
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
+  void noKeyHasTwoOwnersUnderCombinedFaults(@ForAll long seed) {
+    LeaseSimulation simulation =
+        new LeaseSimulation(seed, true, true).withStoreRollbacks(true).withClockFaults();
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
   }
 
-  /** Moves that were written are lost with the store, at times with the holder that made them. */
+  /** Store rollbacks lose written moves, in some cases together with the term holder. */
   @Property(tries = 150, seed = "13")
-  void noKeyHasTwoOwnersThoughTheStoreComesBackOlder(@ForAll long seed) {
-    LeaseWorld world = new LeaseWorld(seed, true).withOlderStores(true);
-    world.run(DURATION_MS);
-    assertWithMessage("violations").that(world.promises().violations()).isEmpty();
+  void noKeyHasTwoOwnersAfterStoreRollbacks(@ForAll long seed) {
+    LeaseSimulation simulation = new LeaseSimulation(seed, true).withStoreRollbacks(true);
+    simulation.run(DURATION_MS);
+    assertWithMessage("violations").that(simulation.invariants().violations()).isEmpty();
   }
 
   /**
-   * Seen: two targets held a key within the first second.
+   * Guards against two owners of a key within the first second.
    *
-   * <p>How: the store came back from a copy that was made before the first record was written. The
-   * next holder found none, took the keys for new and dealt them out while the targets of the first
-   * one held them.
+   * <p>The store was restored from a copy made before the first record was written. The next term
+   * holder found no record, regarded the keys as unassigned and granted them while the targets of
+   * the first term holder still held them.
    */
   @Example
-  void missingRecordsOfAnEarlierEpochProveNothingEither() {
-    LeaseWorld world = new LeaseWorld(-13, true).withOlderStores(true);
-    world.run(DURATION_MS);
-    assertThat(world.promises().violations()).isEmpty();
+  void missingRecordsOfAnEarlierEpochAreNoProof() {
+    LeaseSimulation simulation = new LeaseSimulation(-13, true).withStoreRollbacks(true);
+    simulation.run(DURATION_MS);
+    assertThat(simulation.invariants().violations()).isEmpty();
   }
 
   /**
-   * Seen: two targets held a key, and a token went back.
+   * Guards against two owners of a key and decreasing tokens.
    *
-   * <p>How: a holder had been replaced and did not know. The store came back from a copy in which
-   * it still held the term, so it wrote its owners over those of the holder that had replaced it.
-   * Now only a holder that most gateways still follow writes.
+   * <p>A term holder had been replaced without noticing. The store was restored from a copy in
+   * which it still held the term, so it overwrote the assignments of its successor. Only a term
+   * holder that most gateways still follow may write.
    */
   @Example
-  void replacedHoldersDoNotComeBackWithTheStore() {
+  void replacedTermHoldersDoNotReturnAfterStoreRollbacks() {
     for (long seed : List.of(660260225259642700L, 755854500991624593L, -3462057721180242966L)) {
-      LeaseWorld world = new LeaseWorld(seed, true).withOlderStores(true);
-      world.run(DURATION_MS);
-      assertThat(world.promises().violations()).isEmpty();
+      LeaseSimulation simulation = new LeaseSimulation(seed, true).withStoreRollbacks(true);
+      simulation.run(DURATION_MS);
+      assertThat(simulation.invariants().violations()).isEmpty();
     }
   }
 
   /**
-   * Seen while these schedules were written: a holder went on that had read and not yet written.
+   * Guards against a term holder that continues after a store rollback although it has read the
+   * assignments but not yet written its own: others may have written in between.
    */
   @Example
-  void holdersThatHaveNotWrittenReadAgain() {
-    LeaseWorld world = new LeaseWorld(-3659396086863550127L, true, true).withOlderStores(true);
-    world.run(DURATION_MS);
-    assertThat(world.promises().violations()).isEmpty();
+  void termHoldersThatHaveNotWrittenReadAgain() {
+    LeaseSimulation simulation =
+        new LeaseSimulation(-3659396086863550127L, true, true).withStoreRollbacks(true);
+    simulation.run(DURATION_MS);
+    assertThat(simulation.invariants().violations()).isEmpty();
   }
 
-  /** The same check bites: whoever takes the older record for the newest breaks the promise. */
+  /**
+   * Verifies that the check detects violations: a term holder that trusts a record of an earlier
+   * epoch violates an invariant.
+   */
   @Example
-  void recordsOfAnEarlierEpochProveNothing() {
+  void recordsOfAnEarlierEpochAreNoProof() {
     int broken = 0;
     int lostRecords = 0;
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
-      LeaseWorld world = new LeaseWorld(seed, true).withOlderStores(false);
-      world.run(DURATION_MS);
-      broken += world.promises().violations().isEmpty() ? 0 : 1;
-      lostRecords += world.lostRecords();
+      LeaseSimulation simulation = new LeaseSimulation(seed, true).withStoreRollbacks(false);
+      simulation.run(DURATION_MS);
+      broken += simulation.invariants().violations().isEmpty() ? 0 : 1;
+      lostRecords += simulation.lostRecords();
     }
     assertThat(lostRecords).isGreaterThan(0);
     assertThat(broken).isGreaterThan(0);
   }
 
   /**
-   * The checks bite: without names each promise is broken, and some promise in all but one of the
-   * schedules. In that one (seed 4) each run that takes an order of another one is of the same
-   * service and gets a token above all that were used before, which breaks nothing.
+   * Verifies that the checks detect violations: if orders do not name their target, every invariant
+   * is violated, and at least one in each schedule but that of seed 4. There, each run that accepts
+   * an order for another one belongs to the same service and receives a token higher than all
+   * earlier ones, which violates nothing.
    */
   @Example
-  void ordersThatNameNoTargetBreakEveryPromise() {
+  void ordersThatNameNoTargetViolateEveryInvariant() {
     Set<Violation> seen = EnumSet.noneOf(Violation.class);
-    Set<Long> harmless = new HashSet<>();
+    Set<Long> seedsWithoutViolations = new HashSet<>();
     for (long seed = 0; seed < UNNAMED_SEEDS; seed++) {
-      LeaseWorld world = new LeaseWorld(seed, false);
-      world.run(DURATION_MS);
-      if (world.promises().violations().isEmpty()) {
-        harmless.add(seed);
+      LeaseSimulation simulation = new LeaseSimulation(seed, false);
+      simulation.run(DURATION_MS);
+      if (simulation.invariants().violations().isEmpty()) {
+        seedsWithoutViolations.add(seed);
       }
-      seen.addAll(world.promises().violations().keySet());
+      seen.addAll(simulation.invariants().violations().keySet());
     }
-    assertThat(harmless).containsExactly(4L);
+    assertThat(seedsWithoutViolations).containsExactly(4L);
     assertThat(seen).containsExactlyElementsIn(Violation.values());
   }
 
-  /** The option does what it says: each schedule tells news again, and names come back. */
+  /** Verifies that each schedule repeats notices and reuses names. */
   @Example
-  void newsIsToldAgainAndNamesComeBackAfterOthers() {
+  void noticesAreRepeatedAndNamesReusedAfterOthers() {
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
-      LeaseWorld world = new LeaseWorld(seed, true, true).withNewsToldAgain();
-      world.run(DURATION_MS);
-      assertThat(world.newsToldAgain()).isGreaterThan(0);
-      assertThat(world.returns()).isGreaterThan(0);
+      LeaseSimulation simulation = new LeaseSimulation(seed, true, true).withRepeatedNotices();
+      simulation.run(DURATION_MS);
+      assertThat(simulation.repeatedNotices()).isGreaterThan(0);
+      assertThat(simulation.nameReturns()).isGreaterThan(0);
     }
   }
 
   /**
-   * The schedules get to the point: every trouble comes up, and orders for ended runs arrive. In
-   * one of them (seed 6) all those are grants: no release is due while another run has the address.
+   * Verifies the coverage of the schedules: every fault occurs, and orders for terminated runs
+   * reach other runs. With seed 6 these are all grants, as no release is due while another run has
+   * the address.
    */
   @Example
-  void everyTroubleComesUpAndOrdersReachOtherRuns() {
-    Set<Trouble> seen = EnumSet.noneOf(Trouble.class);
+  void everyFaultOccursAndOrdersReachOtherRuns() {
+    Set<InjectedFault> seen = EnumSet.noneOf(InjectedFault.class);
     for (long seed = 0; seed < FIXED_SEEDS; seed++) {
-      LeaseWorld world = new LeaseWorld(seed, true);
-      world.run(DURATION_MS);
-      assertThat(world.network().refusedGrants()).isGreaterThan(0);
+      LeaseSimulation simulation = new LeaseSimulation(seed, true);
+      simulation.run(DURATION_MS);
+      assertThat(simulation.network().refusedGrants()).isGreaterThan(0);
       if (seed != SEED_WITHOUT_RELEASES) {
-        assertThat(world.network().refusedReleases()).isGreaterThan(0);
+        assertThat(simulation.network().refusedReleases()).isGreaterThan(0);
       }
-      seen.addAll(world.troubles());
+      seen.addAll(simulation.injectedFaults());
     }
-    assertThat(seen).containsExactlyElementsIn(Trouble.values());
+    assertThat(seen).containsExactlyElementsIn(InjectedFault.values());
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseStore.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedStore.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * The store of the assignments: each write replaces one revision. It may come back from an older
- * copy of itself; revisions of a later epoch are above all of those before.
+ * The simulated store of the assignments with compare-and-set writes. It can be rolled back to an
+ * older copy; revisions of a later epoch are higher than all earlier ones.
  */
-final class LeaseStore {
+final class SimulatedStore {
 
   private static final long REVISIONS_PER_EPOCH = 1_000_000;
 
   private final List<OwnershipRecord> written = new ArrayList<>();
   private long epoch = 1;
 
-  LeaseStore() {
+  SimulatedStore() {
     written.add(new OwnershipRecord(0, List.of(), List.of(), epoch));
   }
 
@@ -30,7 +30,7 @@
     return epoch;
   }
 
-  /** Writes if nobody else has written meanwhile. */
+  /** Writes if the revision is still the expected one. */
   boolean replace(long expectedRevision, OwnershipRecord next) {
     if (revision() != expectedRevision) {
       return false;
@@ -39,8 +39,8 @@
     return true;
   }
 
-  /** Comes back from a copy that lacks the newest writes. */
-  void comeBackWithout(int writes) {
+  /** Restores a copy that lacks the newest writes. */
+  void rollBack(int writes) {
     int kept = Math.max(1, written.size() - writes);
     written.subList(kept, written.size()).clear();
     epoch++;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseTarget.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTarget.java
@@ -4,12 +4,12 @@
 import io.cuminvalve.core.id.TargetId;
 
 /**
- * One run of a target at its address. It holds leases, as targets do: by token, on a clock that may
- * run slow. The next run at the address is another target: nothing seen, nothing held.
+ * One simulated run of a target. It checks fencing tokens and times its leases on a clock that may
+ * run slow. The next run at the address starts without tokens and leases.
  */
-final class LeaseTarget {
+final class SimulatedTarget {
 
-  /** Only every so manieth key is looked at; moves in tests begin and end there. */
+  /** The distance between sampled keys; moves in tests begin and end at multiples of it. */
   static final int STEP = 4_096;
 
   static final int SAMPLES = KeyRange.KEY_COUNT / STEP;
@@ -21,11 +21,12 @@
   private final long listedFromMs;
   private final long[] seenTokens = new long[SAMPLES];
   private final long[] heldUntilMs = new long[SAMPLES];
-  private final ServiceId[] heldFor = new ServiceId[SAMPLES];
+  private final ServiceId[] lastGrantedFor = new ServiceId[SAMPLES];
   private long listedUntilMs = Long.MAX_VALUE / 2;
   private boolean ended;
 
-  LeaseTarget(TargetId id, ServiceId service, String address, double clockRate, long listedFromMs) {
+  SimulatedTarget(
+      TargetId id, ServiceId service, String address, double clockRate, long listedFromMs) {
     this.id = id;
     this.service = service;
     this.address = address;
@@ -49,14 +50,18 @@
     return listedUntilMs;
   }
 
-  /** Tells whether the registry lists this run at some time of these. */
+  /** Returns whether the registry lists this run at any time in an interval. */
   boolean isListed(long fromMs, long untilMs) {
     return listedFromMs <= untilMs && fromMs < listedUntilMs;
   }
 
-  /** Carries an order out; a lease runs since it arrived. What is named is looked at if it is. */
+  /**
+   * Carries out an order; a granted lease starts when the order arrived.
+   *
+   * @param named whether the order names its target, which is then checked
+   */
   OrderOutcome carryOut(LeaseOrder order, boolean named, long arrivedMs) {
-    if (named && !isMeant(order.target())) {
+    if (named && !isAddressee(order.target())) {
       return OrderOutcome.OTHER_TARGET;
     }
     if (order instanceof LeaseOrder.Grant grant) {
@@ -65,8 +70,8 @@
     return release((LeaseOrder.Release) order);
   }
 
-  /** On the way to a run its name alone counts: a later run of the same target takes it too. */
-  boolean isMeant(TargetId target) {
+  /** Returns whether an order is addressed to this run: only the name counts, not the start. */
+  boolean isAddressee(TargetId target) {
     return target.name().equals(id.name());
   }
 
@@ -80,7 +85,7 @@
       if (order.range().contains(i * STEP)) {
         seenTokens[i] = order.token();
         heldUntilMs[i] = arrivedMs + (long) (order.leaseMs() * clockRate);
-        heldFor[i] = order.service();
+        lastGrantedFor[i] = order.service();
       }
     }
     return OrderOutcome.DONE;
@@ -100,16 +105,16 @@
     return !ended && heldUntilMs[sample] > nowMs;
   }
 
-  /** Returns the service in whose name the key was granted last; null if it never was. */
-  ServiceId heldFor(int sample) {
-    return heldFor[sample];
+  /** Returns the service for which the key was last granted; null if it never was. */
+  ServiceId lastGrantedFor(int sample) {
+    return lastGrantedFor[sample];
   }
 
   boolean isEnded() {
     return ended;
   }
 
-  /** Ends; the registry lists it for a while longer. */
+  /** Terminates the run; the registry lists it until the given time. */
   void end(long listedUntil) {
     ended = true;
     listedUntilMs = listedUntil;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/send/SendGateTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/send/SendGateTest.java
@@ -16,31 +16,31 @@
 
   private long nowMs = 10_000;
   private final SendGate gate = new SendGate(() -> nowMs);
-  private final Map<SendCondition, SendFact> known = new EnumMap<>(SendCondition.class);
-  private final List<SendCondition> asked = new ArrayList<>();
+  private final Map<SendCondition, ConditionStatus> known = new EnumMap<>(SendCondition.class);
+  private final List<SendCondition> lookedUp = new ArrayList<>();
 
   private Optional<SendObstacle> check(SendKind kind) {
-    return gate.check(kind, this::factOf);
+    return gate.check(kind, this::statusOf);
   }
 
-  private SendFact factOf(SendCondition condition, UpperTime now) {
-    asked.add(condition);
-    return known.getOrDefault(condition, SendFact.local(true, now));
+  private ConditionStatus statusOf(SendCondition condition, UpperTime now) {
+    lookedUp.add(condition);
+    return known.getOrDefault(condition, ConditionStatus.local(true, now));
   }
 
   @Test
-  void whatHoldsMayBeSent() {
+  void sendIsAllowedIfAllConditionsHold() {
     assertThat(check(SendKind.REQUEST)).isEmpty();
     assertThat(check(SendKind.GRANT)).isEmpty();
     assertThat(check(SendKind.RELEASE)).isEmpty();
   }
 
-  /** Each condition alone stops every kind of message that it concerns, and no other. */
+  /** Each condition alone blocks every kind of message that it applies to, and no other. */
   @Test
-  void everyConditionThatDoesNotHoldStopsWhatItConcerns() {
+  void everyUnmetConditionBlocksTheKindsItAppliesTo() {
     for (SendCondition condition : SendCondition.values()) {
       known.clear();
-      known.put(condition, SendFact.local(false, new UpperTime(nowMs)));
+      known.put(condition, ConditionStatus.local(false, new UpperTime(nowMs)));
       for (SendKind kind : SendKind.values()) {
         Optional<SendObstacle> expected =
             condition.concerns(kind)
@@ -51,12 +51,12 @@
     }
   }
 
-  /** A step before the gate that takes 2 s makes old knowledge older, not newer. */
+  /** A delay of 2 s before the check makes the known status outdated. */
   @Test
-  void everyConditionThatIsOutOfDateStopsWhatItConcerns() {
+  void everyOutdatedConditionBlocksTheKindsItAppliesTo() {
     for (SendCondition condition : SendCondition.values()) {
       known.clear();
-      known.put(condition, SendFact.heard(true, new UpperTime(nowMs), MAX_AGE_MS));
+      known.put(condition, ConditionStatus.heard(true, new UpperTime(nowMs), MAX_AGE_MS));
       SendKind kind = condition.concerns(SendKind.REQUEST) ? SendKind.REQUEST : SendKind.GRANT;
       assertThat(check(kind)).isEmpty();
       nowMs += 2_000;
@@ -65,29 +65,30 @@
   }
 
   @Test
-  void whatWasNeverKnownStopsTheSend() {
+  void conditionThatWasNeverKnownBlocksTheSend() {
     known.put(
-        SendCondition.TARGET_SERVES, SendFact.heard(true, UpperTime.NEVER, Long.MAX_VALUE / 4));
+        SendCondition.TARGET_SERVES,
+        ConditionStatus.heard(true, UpperTime.NEVER, Long.MAX_VALUE / 4));
     assertThat(check(SendKind.REQUEST))
         .hasValue(new SendObstacle(SendCondition.TARGET_SERVES, true));
   }
 
   @Test
-  void nothingIsAskedAfterTheFirstObstacle() {
-    known.put(SendCondition.ATTEMPT_OPEN, SendFact.local(false, new UpperTime(nowMs)));
+  void checkStopsAtTheFirstObstacle() {
+    known.put(SendCondition.ATTEMPT_OPEN, ConditionStatus.local(false, new UpperTime(nowMs)));
     assertThat(check(SendKind.REQUEST)).isPresent();
-    assertThat(asked).containsExactly(SendCondition.ATTEMPT_OPEN);
+    assertThat(lookedUp).containsExactly(SendCondition.ATTEMPT_OPEN);
   }
 
-  /** The look at the caller's connection costs a system call: nothing else comes after it. */
+  /** Checking the caller's connection requires a system call, so it comes last. */
   @Test
-  void theCallerIsLookedAtLast() {
+  void callerConnectionIsCheckedLast() {
     assertThat(check(SendKind.REQUEST)).isEmpty();
-    assertThat(asked.get(asked.size() - 1)).isEqualTo(SendCondition.CALLER_PRESENT);
+    assertThat(lookedUp.get(lookedUp.size() - 1)).isEqualTo(SendCondition.CALLER_PRESENT);
   }
 
   @Test
-  void theReasonTellsWhatIsOnlyOutOfDate() {
+  void labelDistinguishesOutdatedFromUnmet() {
     assertThat(new SendObstacle(SendCondition.TARGET_SERVES, false).label())
         .isEqualTo("unmet_target_serves");
     assertThat(new SendObstacle(SendCondition.TARGET_SERVES, true).label())
