--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionDesk.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionCoordinator.java
@@ -40,16 +40,16 @@
  *
  * @since 0.1
  */
-public final class AdmissionDesk {
+public final class AdmissionCoordinator {
 
   private final CellId cell;
   private final RouterId self;
   private final Incarnation incarnation;
   private final AdmissionSettings settings;
   private final AdmissionSink sink;
-  private final Map<TargetId, TargetDesk> desks = new HashMap<>();
-  private final GateLearning learning = new GateLearning();
-  private final RouterRuns runs;
+  private final Map<TargetId, TargetAdmission> desks = new HashMap<>();
+  private final PermitRecovery learning = new PermitRecovery();
+  private final RouterIncarnations runs;
   private final Map<RouterId, PermitReportRequest> reportsDue = new HashMap<>();
   private TableVersion version = TableVersion.NONE;
   private List<RegisteredRouter> routers = List.of();
@@ -65,7 +65,7 @@
    * @param settings limits and times; not null
    * @param sink receives the effects; not null
    */
-  public AdmissionDesk(
+  public AdmissionCoordinator(
       CellId cell,
       RouterId self,
       Incarnation incarnation,
@@ -76,7 +76,7 @@
     this.incarnation = incarnation;
     this.settings = settings;
     this.sink = sink;
-    this.runs = new RouterRuns(settings.lostPermitMs());
+    this.runs = new RouterIncarnations(settings.lostPermitMs());
   }
 
   /**
@@ -87,9 +87,9 @@
    */
   public void onTargets(List<Instance> instances, long nowMs) {
     for (Instance instance : instances) {
-      TargetDesk desk = desks.get(instance.id());
+      TargetAdmission desk = desks.get(instance.id());
       if (desk == null) {
-        desk = new TargetDesk(this, instance.id(), instance.slots());
+        desk = new TargetAdmission(this, instance.id(), instance.slots());
         desks.put(instance.id(), desk);
         desk.setGate(gateOf(instance.id()), nowMs);
       } else {
@@ -140,11 +140,11 @@
       RequestClass requestClass,
       long deadlineMs,
       long nowMs) {
-    TargetDesk desk = desks.get(target);
+    TargetAdmission desk = desks.get(target);
     if (closing || desk == null) {
       RefusalReason reason =
           closing ? RefusalReason.ROUTER_STOPPING : RefusalReason.SHARD_UNAVAILABLE;
-      sink.refused(permit, reason, settings.gatePatienceMs());
+      sink.refused(permit, reason, settings.gateTimeoutMs());
       return;
     }
     desk.admit(permit, tenant, requestClass, deadlineMs, nowMs);
@@ -160,7 +160,7 @@
    * @param nowMs the current time in milliseconds
    */
   public void release(long permit, TargetId target, SlotUse use, long serviceMs, long nowMs) {
-    TargetDesk desk = desks.get(target);
+    TargetAdmission desk = desks.get(target);
     if (desk != null) {
       desk.release(permit, use, serviceMs, nowMs);
     }
@@ -175,7 +175,7 @@
    * @param nowMs the current time in milliseconds
    */
   public void withdraw(long permit, TargetId target, long nowMs) {
-    TargetDesk desk = desks.get(target);
+    TargetAdmission desk = desks.get(target);
     if (desk != null) {
       desk.withdraw(permit, nowMs);
     }
@@ -220,7 +220,7 @@
     if (learning.isOver(nowMs)) {
       finishLearning(nowMs);
     }
-    learning.routersToAskAgain(nowMs, settings.gatePatienceMs()).forEach(this::askForReport);
+    learning.routersToAskAgain(nowMs, settings.gateTimeoutMs()).forEach(this::askForReport);
     desks.values().forEach(desk -> desk.tick(nowMs));
   }
 
@@ -240,7 +240,7 @@
    * @return 0 if this router is not the gate
    */
   public int inUseAtOwnGate(TargetId target) {
-    TargetDesk desk = desks.get(target);
+    TargetAdmission desk = desks.get(target);
     return desk == null ? 0 : desk.inUseAtOwnGate();
   }
 
@@ -291,11 +291,12 @@
   }
 
   private void startLearning(List<RegisteredRouter> earlier, long nowMs) {
-    List<TargetDesk> shut = desks.values().stream().filter(TargetDesk::isLearning).toList();
+    List<TargetAdmission> shut =
+        desks.values().stream().filter(TargetAdmission::isLearning).toList();
     if (shut.isEmpty()) {
       return;
     }
-    learning.start(nowMs + settings.gatePatienceMs(), nowMs);
+    learning.start(nowMs + settings.gateTimeoutMs(), nowMs);
     for (RegisteredRouter router : routers) {
       if (!router.id().equals(self)) {
         learning.await(router.id());
@@ -319,7 +320,7 @@
   private void finishLearning(long nowMs) {
     List<RouterId> silent = learning.finish();
     silent.removeIf(runs::endedCleanly);
-    for (TargetDesk desk : desks.values()) {
+    for (TargetAdmission desk : desks.values()) {
       if (desk.isLearning()) {
         silent.forEach(router -> reserve(desk, router, nowMs));
         desk.open(nowMs);
@@ -327,14 +328,14 @@
     }
   }
 
-  private void reserve(TargetDesk desk, RouterId holder, long nowMs) {
+  private void reserve(TargetAdmission desk, RouterId holder, long nowMs) {
     long endsAtMs = nowMs + settings.routeLeaseMs() + settings.lostPermitMs();
     desk.reserve(holder, Math.max(1, routers.size()), endsAtMs);
   }
 
   private void onRequest(PermitRequest request, long nowMs) {
     noteRun(request.router(), request.incarnation(), nowMs);
-    TargetDesk desk = desks.get(request.target());
+    TargetAdmission desk = desks.get(request.target());
     if (desk == null || !desk.isGate()) {
       sink.send(
           request.router(),
@@ -344,7 +345,7 @@
               request.permit(),
               request.target(),
               RefusalReason.GATE_UNAVAILABLE,
-              settings.gatePatienceMs(),
+              settings.gateTimeoutMs(),
               request.incarnation()));
       return;
     }
@@ -352,7 +353,7 @@
   }
 
   private void onGranted(PermitGranted granted, RouterId from) {
-    TargetDesk desk = desks.get(granted.target());
+    TargetAdmission desk = desks.get(granted.target());
     boolean wanted =
         desk != null
             && granted.receiver().equals(incarnation)
@@ -372,14 +373,14 @@
   }
 
   private void onReleased(PermitReleased released, long nowMs) {
-    TargetDesk desk = desks.get(released.target());
+    TargetAdmission desk = desks.get(released.target());
     if (desk != null) {
       desk.onReleased(released, nowMs);
     }
   }
 
   private void onWithdrawn(PermitWithdrawn withdrawn, long nowMs) {
-    TargetDesk desk = desks.get(withdrawn.target());
+    TargetAdmission desk = desks.get(withdrawn.target());
     if (desk != null) {
       desk.onWithdrawn(withdrawn, nowMs);
     }
@@ -404,7 +405,7 @@
       return;
     }
     for (PermitInUse permit : report.permits()) {
-      TargetDesk desk = desks.get(permit.target());
+      TargetAdmission desk = desks.get(permit.target());
       if (desk != null) {
         desk.adopt(report.router(), report.incarnation(), permit, nowMs);
       }
@@ -412,7 +413,7 @@
     desks.values().forEach(desk -> desk.onReported(report.router(), nowMs));
     if (report.sawEarlierRun()) {
       desks.values().stream()
-          .filter(TargetDesk::isLearning)
+          .filter(TargetAdmission::isLearning)
           .forEach(desk -> desk.reserveForEarlierRun(nowMs + settings.lostPermitMs()));
     }
     learning.onReport(report.router());
@@ -427,15 +428,15 @@
     }
   }
 
-  private void withDesk(TargetId target, Incarnation receiver, Consumer<TargetDesk> action) {
-    TargetDesk desk = desks.get(target);
+  private void withDesk(TargetId target, Incarnation receiver, Consumer<TargetAdmission> action) {
+    TargetAdmission desk = desks.get(target);
     if (desk != null && receiver.equals(incarnation)) {
       action.accept(desk);
     }
   }
 
   private void sayClosed() {
-    if (!closing || closedSaid || desks.values().stream().anyMatch(TargetDesk::holdsAny)) {
+    if (!closing || closedSaid || desks.values().stream().anyMatch(TargetAdmission::holdsAny)) {
       return;
     }
     closedSaid = true;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionSettings.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionSettings.java
@@ -6,12 +6,12 @@
  * @param maxQueuedPerSlot how many requests of one class may wait per slot of a target
  * @param deferrableShare the share of slot time that deferrable work gets while it waits; from 0 to
  *     less than 1
- * @param longestPermitMs the longest time that a permit may be held, and so the longest deadline;
+ * @param maxPermitMs the longest time that a permit may be held, and so the longest deadline;
  *     milliseconds
  * @param lostPermitMs how long slots are kept for the requests of a router that was lost together
  *     with the knowledge of its permits; milliseconds
  * @param closeGraceMs how long after its deadline an attempt may take to be closed; milliseconds
- * @param gatePatienceMs how long a request waits for a sign of its gate; milliseconds
+ * @param gateTimeoutMs how long a request waits for a sign of its gate; milliseconds
  * @param routeLeaseMs how long a router may dispatch after it lost contact, margin included;
  *     milliseconds
  * @since 0.1
@@ -19,10 +19,10 @@
 public record AdmissionSettings(
     int maxQueuedPerSlot,
     double deferrableShare,
-    long longestPermitMs,
+    long maxPermitMs,
     long lostPermitMs,
     long closeGraceMs,
-    long gatePatienceMs,
+    long gateTimeoutMs,
     long routeLeaseMs) {
 
   /** Settings that suit services with answers within seconds. */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionSink.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionSink.java
@@ -5,8 +5,8 @@
 import io.cuminvalve.core.verdict.RefusalReason;
 
 /**
- * Receives the effects of an {@link AdmissionDesk}. Calls may come before the call that caused them
- * returns.
+ * Receives the effects of an {@link AdmissionCoordinator}. Calls may come before the call that
+ * caused them returns.
  *
  * @since 0.1
  */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/ShardParking.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/ParkedRequests.java
@@ -12,7 +12,7 @@
  *
  * @since 0.1
  */
-public final class ShardParking {
+public final class ParkedRequests {
 
   private final int maxParked;
   private final Map<Integer, ArrayDeque<Parked>> byShard = new HashMap<>();
@@ -31,7 +31,7 @@
    *
    * @param maxParked how many requests may wait
    */
-  public ShardParking(int maxParked) {
+  public ParkedRequests(int maxParked) {
     this.maxParked = maxParked;
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/GateLearning.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/PermitRecovery.java
@@ -11,7 +11,7 @@
  *
  * @since 0.1
  */
-final class GateLearning {
+final class PermitRecovery {
 
   private static final int ASKS_PER_PATIENCE = 4;
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/RouterRuns.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/RouterIncarnations.java
@@ -10,7 +10,7 @@
  *
  * @since 0.1
  */
-final class RouterRuns {
+final class RouterIncarnations {
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
@@ -26,7 +26,7 @@
     private boolean endedCleanly;
   }
 
-  RouterRuns(long memoryMs) {
+  RouterIncarnations(long memoryMs) {
     this.memoryMs = memoryMs;
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetDesk.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetAdmission.java
@@ -24,11 +24,11 @@
  *
  * @since 0.1
  */
-final class TargetDesk implements GateSink {
+final class TargetAdmission implements GateSink {
 
   private static final int ASKS_PER_PATIENCE = 3;
 
-  private final AdmissionDesk owner;
+  private final AdmissionCoordinator owner;
   private final TargetId target;
   private final Map<Long, RemotePermit> remote = new LinkedHashMap<>();
   private int slots;
@@ -59,7 +59,7 @@
     }
   }
 
-  TargetDesk(AdmissionDesk owner, TargetId target, int slots) {
+  TargetAdmission(AdmissionCoordinator owner, TargetId target, int slots) {
     this.owner = owner;
     this.target = target;
     this.slots = slots;
@@ -154,7 +154,7 @@
       return;
     }
     if (gateRouter == null) {
-      owner.sink().refused(permit, RefusalReason.NOT_READY, owner.settings().gatePatienceMs());
+      owner.sink().refused(permit, RefusalReason.NOT_READY, owner.settings().gateTimeoutMs());
       return;
     }
     RemotePermit asked = new RemotePermit(permit, tenant, requestClass, deadlineMs, nowMs);
@@ -250,7 +250,7 @@
       gate.tick(nowMs);
       return;
     }
-    long patienceMs = owner.settings().gatePatienceMs();
+    long patienceMs = owner.settings().gateTimeoutMs();
     for (RemotePermit permit : new ArrayList<>(remote.values())) {
       if (permit.held) {
         continue;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetGate.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetGate.java
@@ -191,7 +191,7 @@
       return;
     }
     FairQueue queue = queueOf(requestClass);
-    long boundedDeadlineMs = Math.min(deadlineMs, nowMs + settings.longestPermitMs());
+    long boundedDeadlineMs = Math.min(deadlineMs, nowMs + settings.maxPermitMs());
     if (queue.size() == 0 && mayUse(router, requestClass)) {
       if (isHopeless(requestClass, 0, boundedDeadlineMs, nowMs)) {
         refuse(router, incarnation, number, RefusalReason.DEADLINE_UNREACHABLE, 0);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/QuotaShare.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/LocalQuota.java
@@ -18,7 +18,7 @@
  *
  * @since 0.2
  */
-public final class QuotaShare {
+public final class LocalQuota {
 
   /** What this gateway does with a request. */
   public enum Decision {
@@ -79,8 +79,8 @@
    * @param perS the limit of the target; requests a second; at least 0
    * @param random spreads what gateways send alone; not null
    */
-  public QuotaShare(double perS, RandomGenerator random) {
-    this.perS = Math.max(RateBucket.LEAST_PER_S, perS);
+  public LocalQuota(double perS, RandomGenerator random) {
+    this.perS = Math.max(PriorityTokenBucket.LEAST_PER_S, perS);
     this.random = random;
   }
 
@@ -90,7 +90,7 @@
    * @param nextPerS requests a second; at least 0
    */
   public void setLimit(double nextPerS) {
-    perS = Math.max(RateBucket.LEAST_PER_S, nextPerS);
+    perS = Math.max(PriorityTokenBucket.LEAST_PER_S, nextPerS);
   }
 
   /**
@@ -111,11 +111,11 @@
       asking.giveUp(nowMs);
       unanswered++;
     }
-    if (isAlone() && takeAlone(gateways, nowMs)) {
+    if (isIssuerUnreachable() && takeAlone(gateways, nowMs)) {
       return Decision.TAKEN;
     }
     if (asking.isUnderWay()) {
-      return isAlone() ? Decision.REFUSED : Decision.WAIT;
+      return isIssuerUnreachable() ? Decision.REFUSED : Decision.WAIT;
     }
     if (nowMs < asking.blockedUntilMs) {
       return Decision.REFUSED;
@@ -135,11 +135,11 @@
   public OptionalLong refusedForMs(int priority, long nowMs) {
     Asking asking = askingByPriority.get(priority);
     boolean usable = asking == null || granted.stream().anyMatch(one -> one.fits(priority, nowMs));
-    if (usable || (asking.isUnderWay() && !isAlone())) {
+    if (usable || (asking.isUnderWay() && !isIssuerUnreachable())) {
       return OptionalLong.empty();
     }
     long forMs = asking.blockedUntilMs - nowMs;
-    if (isAlone()) {
+    if (isIssuerUnreachable()) {
       forMs = Math.max(1, Math.max(forMs, Math.min(REPLACED_MS, aloneAtMs - nowMs)));
     }
     return forMs > 0 ? OptionalLong.of(forMs) : OptionalLong.empty();
@@ -152,7 +152,7 @@
    * @param nowMs the time; milliseconds
    * @return milliseconds; at least 1
    */
-  public long promiseMs(int priority, long nowMs) {
+  public long nextRetryAfterMs(int priority, long nowMs) {
     Asking asking = askingByPriority.computeIfAbsent(priority, id -> new Asking());
     long earliestMs = nowMs + refusedForMs(priority, nowMs).orElse(1);
     long promisedMs = Math.max(earliestMs, asking.promisedUntilMs);
@@ -167,7 +167,7 @@
    *
    * @return at least 0
    */
-  public int expectedSoon() {
+  public int expectedRequests() {
     return (int) Math.min(perS, AHEAD_S * MS_PER_S / Math.max(1, meanPauseMs));
   }
 
@@ -196,7 +196,7 @@
    *
    * @return true after several questions without an answer
    */
-  public boolean isAlone() {
+  public boolean isIssuerUnreachable() {
     return unanswered >= ALONE_AFTER;
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/RateBucket.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/PriorityTokenBucket.java
@@ -9,7 +9,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class RateBucket {
+final class PriorityTokenBucket {
 
   /** How much may be saved up beyond one token, as the time in which it comes in. */
   private static final double SAVED_S = 0.5;
@@ -33,7 +33,7 @@
   private long refilledMs;
 
   /** Creates an empty bucket: nobody knows what was sent a moment ago. */
-  RateBucket(double perS, long nowMs) {
+  PriorityTokenBucket(double perS, long nowMs) {
     this.perS = Math.max(LEAST_PER_S, perS);
     this.refilledMs = nowMs;
   }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/QuotaIssuer.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/QuotaIssuer.java
@@ -24,7 +24,7 @@
 
   private static final int MOST_GATEWAYS = 2_048;
 
-  private final Map<TargetId, RateBucket> buckets = new HashMap<>();
+  private final Map<TargetId, PriorityTokenBucket> buckets = new HashMap<>();
   private final Map<TargetId, Map<String, Long>> askedMs = new HashMap<>();
   private double share = 1;
 
@@ -40,7 +40,7 @@
     limits.forEach(
         (target, perS) ->
             buckets
-                .computeIfAbsent(target, id -> new RateBucket(perS, nowMs))
+                .computeIfAbsent(target, id -> new PriorityTokenBucket(perS, nowMs))
                 .setRate(perS, share, nowMs));
   }
 
@@ -67,7 +67,7 @@
    */
   public Optional<QuotaGrant> ask(
       String gateway, TargetId target, int priority, int wanted, int ahead, long nowMs) {
-    RateBucket bucket = buckets.get(target);
+    PriorityTokenBucket bucket = buckets.get(target);
     if (bucket == null) {
       return Optional.empty();
     }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/LimitLedger.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/TargetLimitTracker.java
@@ -19,7 +19,7 @@
  *
  * @since 0.2
  */
-public final class LimitLedger {
+public final class TargetLimitTracker {
 
   /** Bounds the memory to some 100 KB, also if every target of a large fleet names a limit. */
   static final int MOST_TARGETS = 1_024;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/replay/ReplayRequest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/replay/ReplayRequest.java
@@ -3,9 +3,9 @@
 import io.cuminvalve.core.id.IdempotencyKey;
 import io.cuminvalve.core.intent.OperationId;
 import io.cuminvalve.core.request.RequestEffect;
-import io.cuminvalve.core.request.RequestMachine;
 import io.cuminvalve.core.request.RequestProfile;
 import io.cuminvalve.core.request.RequestState;
+import io.cuminvalve.core.request.RequestStateMachine;
 import io.cuminvalve.core.verdict.Outcome;
 import io.cuminvalve.core.verdict.RefusalReason;
 import io.cuminvalve.core.verdict.TargetRefusal;
@@ -27,7 +27,7 @@
   private final TraceEvent.Arrival arrival;
   private final ReplayRouter router;
   private final ReplayTarget target;
-  private final RequestMachine machine;
+  private final RequestStateMachine machine;
   private final long deadlineMs;
   private final Map<Integer, Long> permits = new HashMap<>();
   private final Map<Integer, Long> sentAtMs = new HashMap<>();
@@ -44,7 +44,7 @@
     this.deadlineMs = time.nowMs() + arrival.timeoutMs();
     boolean claimed = !arrival.idempotent() && !arrival.idempotencyKey().isEmpty();
     RequestProfile profile = new RequestProfile(arrival.idempotent(), claimed, true, deadlineMs);
-    this.machine = new RequestMachine(profile, router.retries());
+    this.machine = new RequestStateMachine(profile, router.retries());
   }
 
   void start() {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/replay/ReplayRouter.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/replay/ReplayRouter.java
@@ -1,6 +1,6 @@
 package io.cuminvalve.core.replay;
 
-import io.cuminvalve.core.admission.AdmissionDesk;
+import io.cuminvalve.core.admission.AdmissionCoordinator;
 import io.cuminvalve.core.admission.AdmissionSettings;
 import io.cuminvalve.core.admission.AdmissionSink;
 import io.cuminvalve.core.id.CellId;
@@ -31,7 +31,7 @@
 
   private final BiConsumer<RouterId, PeerMessage> network;
   private final RetryBudget retries;
-  private final AdmissionDesk admission;
+  private final AdmissionCoordinator admission;
   private final IntentDesk intents;
   private final Map<RequestId, ReplayRequest> requests = new LinkedHashMap<>();
   private final Map<Long, Ticket> tickets = new HashMap<>();
@@ -53,11 +53,11 @@
       BiConsumer<RouterId, PeerMessage> network) {
     this.network = network;
     this.retries = retries;
-    this.admission = new AdmissionDesk(CELL, id, run, AdmissionSettings.DEFAULT, this);
+    this.admission = new AdmissionCoordinator(CELL, id, run, AdmissionSettings.DEFAULT, this);
     this.intents = new IntentDesk(CELL, id, run, IntentSettings.DEFAULT, this);
   }
 
-  AdmissionDesk admission() {
+  AdmissionCoordinator admission() {
     return admission;
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestEffect.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestEffect.java
@@ -51,15 +51,15 @@
 
   /**
    * Close the connection of the attempt, never reuse it, ask the target to cancel the request, and
-   * report with {@link RequestMachine#onAttemptClosed} when that is done or has timed out. The slot
-   * stays taken until then.
+   * report with {@link RequestStateMachine#onAttemptClosed} when that is done or has timed out. The
+   * slot stays taken until then.
    *
    * @param attempt the number of the attempt
    */
   record CancelAtTarget(int attempt) implements RequestEffect {}
 
   /**
-   * Call {@link RequestMachine#onRetryTimer} after a delay.
+   * Call {@link RequestStateMachine#onRetryTimer} after a delay.
    *
    * @param delayMs milliseconds
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestMachine.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestStateMachine.java
@@ -41,12 +41,12 @@
  *
  * @since 0.1
  */
-public final class RequestMachine {
+public final class RequestStateMachine {
 
   private static final List<RequestEffect> NOTHING = List.of();
 
   private final RequestProfile profile;
-  private final RetryDecider retryDecider;
+  private final RetryPolicy retryDecider;
   private RequestState state = RequestState.NEW;
   private int attempt;
 
@@ -69,7 +69,7 @@
    * @param profile what it has to know of the request; not null
    * @param retryDecider decides on further attempts; not null
    */
-  public RequestMachine(RequestProfile profile, RetryDecider retryDecider) {
+  public RequestStateMachine(RequestProfile profile, RetryPolicy retryDecider) {
     this.profile = profile;
     this.retryDecider = retryDecider;
     this.bodyReplayable = profile.bodyReplayable();
@@ -370,9 +370,9 @@
       RefusalReason reason, long nowMs, List<RequestEffect> effects) {
     long remainingMs = profile.deadlineMs() - nowMs;
     long delayMs =
-        bodyReplayable ? retryDecider.delayMs(attempt, remainingMs, nowMs) : RetryDecider.NO_RETRY;
-    if (delayMs == RetryDecider.NO_RETRY || delayMs >= remainingMs) {
-      return end(reason, RetryTimes.DEFAULT_RETRY_AFTER_MS, effects);
+        bodyReplayable ? retryDecider.delayMs(attempt, remainingMs, nowMs) : RetryPolicy.NO_RETRY;
+    if (delayMs == RetryPolicy.NO_RETRY || delayMs >= remainingMs) {
+      return end(reason, RetryDefaults.DEFAULT_RETRY_AFTER_MS, effects);
     }
     state = RequestState.BACKING_OFF;
     effects.add(new RetryAfter(delayMs));
@@ -430,7 +430,7 @@
   private Outcome outcome(End end, RefusalReason reason, long retryAfterMs) {
     Verdict verdict = mayHaveRun || earlierMayHaveRun ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
     boolean retry = verdict == Verdict.NOT_RUN || profile.idempotent() || profile.claimed();
-    long leastMs = retry ? RetryTimes.DEFAULT_RETRY_AFTER_MS : 0;
+    long leastMs = retry ? RetryDefaults.DEFAULT_RETRY_AFTER_MS : 0;
     return new Outcome(end, verdict, reason, retryAfterMs > 0 ? retryAfterMs : leastMs);
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RetryTimes.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RetryDefaults.java
@@ -5,10 +5,10 @@
  *
  * @since 0.1
  */
-public final class RetryTimes {
+public final class RetryDefaults {
 
   /** When to come back after a refusal that names no time; milliseconds. */
   public static final long DEFAULT_RETRY_AFTER_MS = 250;
 
-  private RetryTimes() {}
+  private RetryDefaults() {}
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RetryDecider.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RetryPolicy.java
@@ -6,7 +6,7 @@
  * @since 0.1
  */
 @FunctionalInterface
-public interface RetryDecider {
+public interface RetryPolicy {
 
   /** Stands for no further attempt. */
   long NO_RETRY = -1;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/RetryBudget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/RetryBudget.java
@@ -1,6 +1,6 @@
 package io.cuminvalve.core.retry;
 
-import io.cuminvalve.core.request.RetryDecider;
+import io.cuminvalve.core.request.RetryPolicy;
 import java.util.function.DoubleSupplier;
 
 /**
@@ -12,7 +12,7 @@
  *
  * @since 0.1
  */
-public final class RetryBudget implements RetryDecider {
+public final class RetryBudget implements RetryPolicy {
 
   private static final int MAX_DOUBLINGS = 20;
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/CircuitBoard.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/TargetCircuitBreakers.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-public final class CircuitBoard {
+public final class TargetCircuitBreakers {
 
   private final RetrySettings settings;
   private final Map<TargetId, Circuit> circuits = new HashMap<>();
@@ -34,7 +34,7 @@
    *
    * @param settings limits and times; not null
    */
-  public CircuitBoard(RetrySettings settings) {
+  public TargetCircuitBreakers(RetrySettings settings) {
     this.settings = settings;
   }
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionDeskTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionCoordinatorTest.java
@@ -30,15 +30,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link AdmissionDesk} on single paths. */
-class AdmissionDeskTest {
+/** Tests {@link AdmissionCoordinator} on single paths. */
+class AdmissionCoordinatorTest {
 
   private static final CellId CELL = new CellId("claims");
   private static final TargetId TARGET = new TargetId("t0");
   private static final TenantId TENANT = new TenantId("tenant");
   private static final Incarnation RUN = new Incarnation(7);
   private static final List<RegisteredRouter> ROUTERS =
-      Stream.of("r0", "r1", "r2").map(AdmissionDeskTest::router).toList();
+      Stream.of("r0", "r1", "r2").map(AdmissionCoordinatorTest::router).toList();
   private static final List<RouterId> BY_CHOICE = RendezvousHash.pick(TARGET.value(), ROUTERS, 3);
   private static final RouterId GATE = BY_CHOICE.get(0);
   private static final RouterId NEXT_GATE = BY_CHOICE.get(1);
@@ -51,7 +51,7 @@
 
   @Test
   void silentGateMeansRefusalWithinItsPatience() {
-    AdmissionDesk desk = desk(NEXT_GATE, 1);
+    AdmissionCoordinator desk = desk(NEXT_GATE, 1);
     desk.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 0);
     desk.tick(299);
     assertThat(refused).isEmpty();
@@ -63,7 +63,7 @@
 
   @Test
   void grantThatComesTooLateIsGivenBack() {
-    AdmissionDesk desk = desk(NEXT_GATE, 1);
+    AdmissionCoordinator desk = desk(NEXT_GATE, 1);
     desk.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 0);
     desk.withdraw(1, TARGET, 10);
     desk.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, RUN), GATE, 20);
@@ -73,7 +73,7 @@
 
   @Test
   void grantOfAnotherRunOrAnotherGateIsNotTaken() {
-    AdmissionDesk desk = desk(NEXT_GATE, 1);
+    AdmissionCoordinator desk = desk(NEXT_GATE, 1);
     desk.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 0);
     desk.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, new Incarnation(6)), GATE, 20);
     desk.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, RUN), BY_CHOICE.get(2), 20);
@@ -84,7 +84,7 @@
 
   @Test
   void newGateCountsReportedPermitsAndReservesForTheLostGate() {
-    AdmissionDesk desk = desk(NEXT_GATE, 4);
+    AdmissionCoordinator desk = desk(NEXT_GATE, 4);
     List<RegisteredRouter> left = without(GATE);
     desk.onTable(SECOND, left, 100);
     for (long permit = 1; permit <= 4; permit++) {
@@ -103,7 +103,7 @@
 
   @Test
   void routerThatSaidItHoldsNoneNeedsNoReserve() {
-    AdmissionDesk desk = desk(NEXT_GATE, 4);
+    AdmissionCoordinator desk = desk(NEXT_GATE, 4);
     desk.onMessage(new PermitsClosed(CELL, GATE, RUN), GATE, 50);
     desk.onTable(SECOND, without(GATE), 100);
     RouterId other = BY_CHOICE.get(2);
@@ -116,7 +116,7 @@
 
   @Test
   void reportsOnlyUnderTheTableOfTheGateThatAsks() {
-    AdmissionDesk desk = desk(BY_CHOICE.get(2), 4);
+    AdmissionCoordinator desk = desk(BY_CHOICE.get(2), 4);
     PermitReportRequest request = new PermitReportRequest(CELL, NEXT_GATE, RUN, SECOND);
     desk.onMessage(request, NEXT_GATE, 10);
     assertThat(sent(PermitReport.class)).isEmpty();
@@ -126,7 +126,7 @@
 
   @Test
   void restartedGateReservesWhatItsEarlierRunMayHaveUsed() {
-    AdmissionDesk desk = desk(GATE, 4);
+    AdmissionCoordinator desk = desk(GATE, 4);
     for (RouterId other : BY_CHOICE.subList(1, 3)) {
       desk.onMessage(new PermitReport(CELL, other, RUN, FIRST, true, List.of()), other, 10);
     }
@@ -138,7 +138,7 @@
 
   @Test
   void closingDeskAdmitsNothingAndSaysSoOnceItIsFree() {
-    AdmissionDesk desk = desk(GATE, 4);
+    AdmissionCoordinator desk = desk(GATE, 4);
     desk.tick(300);
     desk.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 300);
     desk.close();
@@ -157,9 +157,9 @@
     }
   }
 
-  private AdmissionDesk desk(RouterId self, int slots) {
-    AdmissionDesk desk =
-        new AdmissionDesk(CELL, self, RUN, AdmissionSettings.DEFAULT, new Recorder());
+  private AdmissionCoordinator desk(RouterId self, int slots) {
+    AdmissionCoordinator desk =
+        new AdmissionCoordinator(CELL, self, RUN, AdmissionSettings.DEFAULT, new Recorder());
     ServiceId service = new ServiceId("claims");
     DataCentreId dataCentre = new DataCentreId("dc");
     Instance instance = new Instance(TARGET, service, dataCentre, "127.0.0.1:2", slots, 40);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionInterleavingsTest.java
@@ -63,14 +63,14 @@
   private final class Node implements AdmissionSink {
 
     private final RouterId id;
-    private final AdmissionDesk desk;
+    private final AdmissionCoordinator desk;
     private TableVersion installed = TableVersion.NONE;
     private boolean lost;
 
     Node(RouterId id, long run) {
       this.id = id;
       this.desk =
-          new AdmissionDesk(CELL, id, new Incarnation(run), AdmissionSettings.DEFAULT, this);
+          new AdmissionCoordinator(CELL, id, new Incarnation(run), AdmissionSettings.DEFAULT, this);
       desk.onTargets(instances(), nowMs);
     }
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/quota/QuotaShareTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/quota/LocalQuotaTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.cuminvalve.core.quota.QuotaShare.Decision;
+import io.cuminvalve.core.quota.LocalQuota.Decision;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class QuotaShareTest {
+class LocalQuotaTest {
 
   private static final int URGENT = 1;
   private static final int LATER = 2;
   private static final long WINDOW_MS = 4_000;
 
-  private final QuotaShare share = new QuotaShare(2, new Random(1));
+  private final LocalQuota share = new LocalQuota(2, new Random(1));
 
   @Test
   void theIssuerIsAskedOnceAtTheSameTime() {
@@ -40,11 +40,11 @@
   void callersAreToldToComeOneAfterTheOther() {
     share.take(LATER, 8, 0);
     share.onGrant(LATER, new QuotaGrant(0, 700, 500), 10);
-    assertThat(share.promiseMs(LATER, 10)).isEqualTo(700);
-    assertThat(share.promiseMs(LATER, 10)).isEqualTo(1_200);
-    assertThat(share.promiseMs(LATER, 110)).isEqualTo(1_600);
+    assertThat(share.nextRetryAfterMs(LATER, 10)).isEqualTo(700);
+    assertThat(share.nextRetryAfterMs(LATER, 10)).isEqualTo(1_200);
+    assertThat(share.nextRetryAfterMs(LATER, 110)).isEqualTo(1_600);
     for (int i = 0; i < 50; i++) {
-      assertThat(share.promiseMs(LATER, 110)).isAtMost(QuotaShare.LONGEST_WAIT_MS);
+      assertThat(share.nextRetryAfterMs(LATER, 110)).isAtMost(LocalQuota.LONGEST_WAIT_MS);
     }
   }
 
@@ -62,7 +62,7 @@
   void grantsThatAreNotUsedRunOut() {
     share.take(URGENT, 8, 0);
     share.onGrant(URGENT, new QuotaGrant(1, 0, 500), 5);
-    assertThat(share.take(URGENT, 8, QuotaShare.GRANT_MS)).isEqualTo(Decision.ASK);
+    assertThat(share.take(URGENT, 8, LocalQuota.GRANT_MS)).isEqualTo(Decision.ASK);
   }
 
   @Test
@@ -73,10 +73,10 @@
     }
     assertThat(questions).isAtMost(23);
     assertThat(questions).isAtLeast(15);
-    assertThat(share.isAlone()).isTrue();
+    assertThat(share.isIssuerUnreachable()).isTrue();
     assertThat(share.refusedForMs(URGENT, 10_000).isPresent()).isTrue();
     share.onGrant(URGENT, new QuotaGrant(1, 0, 500), 10_000);
-    assertThat(share.isAlone()).isFalse();
+    assertThat(share.isIssuerUnreachable()).isFalse();
   }
 
   /** Nobody hears anybody: the parts of all gateways add up to less than the limit. */
@@ -85,13 +85,13 @@
   void gatewaysThatHearNobodyExceedTheLimitTogetherNever(double perS, int gateways) {
     for (int seed = 0; seed < 10; seed++) {
       Random random = new Random(seed);
-      List<QuotaShare> shares = new ArrayList<>();
+      List<LocalQuota> shares = new ArrayList<>();
       for (int i = 0; i < gateways; i++) {
-        shares.add(new QuotaShare(perS, new Random(random.nextLong())));
+        shares.add(new LocalQuota(perS, new Random(random.nextLong())));
       }
       List<Long> sent = new ArrayList<>();
       for (long nowMs = 0; nowMs < 30_000; nowMs += 5) {
-        for (QuotaShare one : shares) {
+        for (LocalQuota one : shares) {
           if (one.take(URGENT, gateways, nowMs) == Decision.TAKEN) {
             sent.add(nowMs);
           }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/quota/LimitLedgerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/quota/TargetLimitTrackerTest.java
@@ -7,13 +7,13 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-class LimitLedgerTest {
+class TargetLimitTrackerTest {
 
   private static final TargetId ONE = TargetId.ofRun("one", 1);
   private static final TargetId NEXT_RUN = TargetId.ofRun("one", 2);
 
-  private final LimitLedger ledger = new LimitLedger();
-  private final LimitLedger other = new LimitLedger();
+  private final TargetLimitTracker ledger = new TargetLimitTracker();
+  private final TargetLimitTracker other = new TargetLimitTracker();
 
   @Test
   void theNewestLimitCounts() {
@@ -73,18 +73,18 @@
   void targetsThatAreGoneAreForgotten() {
     ledger.onNamed(ONE, 2, 100);
     ledger.onNamed(NEXT_RUN, 2, 100);
-    ledger.forget(NEXT_RUN::equals, 100 + LimitLedger.UNREGISTERED_MS);
+    ledger.forget(NEXT_RUN::equals, 100 + TargetLimitTracker.UNREGISTERED_MS);
     assertThat(ledger.limits()).hasSize(2);
-    ledger.forget(NEXT_RUN::equals, 101 + LimitLedger.UNREGISTERED_MS);
+    ledger.forget(NEXT_RUN::equals, 101 + TargetLimitTracker.UNREGISTERED_MS);
     assertThat(ledger.limits().keySet()).containsExactly(NEXT_RUN);
   }
 
   @Test
   void itsMemoryIsBounded() {
-    for (int i = 0; i < 3 * LimitLedger.MOST_TARGETS; i++) {
+    for (int i = 0; i < 3 * TargetLimitTracker.MOST_TARGETS; i++) {
       ledger.onNamed(TargetId.ofRun("target-" + i, 1), 2, i);
     }
-    assertThat(ledger.limits()).hasSize(LimitLedger.MOST_TARGETS);
+    assertThat(ledger.limits()).hasSize(TargetLimitTracker.MOST_TARGETS);
     assertThat(ledger.limitOf(TargetId.ofRun("target-0", 1))).isEqualTo(OptionalDouble.empty());
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestInterleavingsTest.java
@@ -26,7 +26,7 @@
   private static final int KINDS = 16;
 
   private Random random;
-  private RequestMachine machine;
+  private RequestStateMachine machine;
   private RequestProfile profile;
   private Outcome outcome;
   private Verdict settled;
@@ -61,10 +61,10 @@
         new RequestProfile(
             idempotent, !idempotent && random.nextBoolean(), random.nextInt(4) > 0, 500);
     machine =
-        new RequestMachine(
+        new RequestStateMachine(
             profile,
             (failed, remaining, now) ->
-                random.nextInt(4) == 0 ? RetryDecider.NO_RETRY : random.nextInt(20));
+                random.nextInt(4) == 0 ? RetryPolicy.NO_RETRY : random.nextInt(20));
     outcome = null;
     settled = null;
     headRelayed = false;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestMachineTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestStateMachineTest.java
@@ -19,8 +19,8 @@
 import io.cuminvalve.core.verdict.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link RequestMachine} along single paths; the generated runs cover combinations. */
-class RequestMachineTest {
+/** Tests {@link RequestStateMachine} along single paths; the generated runs cover combinations. */
+class RequestStateMachineTest {
 
   private static final long DEADLINE_MS = 1000;
   private static final RequestProfile READ = new RequestProfile(true, false, true, DEADLINE_MS);
@@ -28,7 +28,7 @@
 
   @Test
   void relaysWholeAnswer() {
-    RequestMachine machine = new RequestMachine(PAYOUT, (failed, remaining, now) -> 10);
+    RequestStateMachine machine = new RequestStateMachine(PAYOUT, (failed, remaining, now) -> 10);
     assertThat(machine.start(0)).containsExactly(new ClaimIntent());
     assertThat(machine.onIntentGranted()).containsExactly(new Admit(1));
     assertThat(machine.onAdmitted(1, 0)).containsExactly(new Dispatch(1));
@@ -44,7 +44,7 @@
 
   @Test
   void retriesNonIdempotentOnlyAfterProvenRefusal() {
-    RequestMachine machine = sent(PAYOUT);
+    RequestStateMachine machine = sent(PAYOUT);
     assertThat(machine.onTargetRefused(1, TargetRefusal.DRAINING, 5))
         .containsExactly(new ReleaseSlot(1, SlotUse.REFUSED), new RetryAfter(10))
         .inOrder();
@@ -61,7 +61,7 @@
 
   @Test
   void cutAnswerAfterItsHeadAbortsTheCaller() {
-    RequestMachine machine = sent(READ);
+    RequestStateMachine machine = sent(READ);
     machine.onAnswerHead(1);
     assertThat(machine.onAnswerCut(1, 30))
         .containsExactly(
@@ -72,7 +72,7 @@
 
   @Test
   void deadlineWhileConnectingProvesNotRunAndForbidsTheFirstByte() {
-    RequestMachine machine = waiting(READ);
+    RequestStateMachine machine = waiting(READ);
     machine.onAdmitted(1, 0);
     assertThat(machine.onDeadline()).contains(new CancelAtTarget(1));
     assertThat(machine.onFirstByte(1)).isFalse();
@@ -82,7 +82,7 @@
 
   @Test
   void answerAfterTheDeadlineIsDroppedAndKeepsItsSlotUntilClosed() {
-    RequestMachine machine = sent(READ);
+    RequestStateMachine machine = sent(READ);
     assertThat(machine.onDeadline())
         .containsExactly(
             new CancelAtTarget(1),
@@ -95,7 +95,7 @@
 
   @Test
   void callerThatLeavesSaysNothingOfTheTarget() {
-    RequestMachine machine = sent(READ);
+    RequestStateMachine machine = sent(READ);
     assertThat(machine.onCallerGone()).contains(new CancelAtTarget(1));
     assertThat(machine.onAnswerEnd(1)).containsExactly(new ReleaseSlot(1, SlotUse.CANCELLED));
   }
@@ -104,15 +104,15 @@
     return new Finish(Outcome.refused(verdict, reason, retryAfterMs));
   }
 
-  private static RequestMachine waiting(RequestProfile profile) {
-    RequestMachine machine = new RequestMachine(profile, (failed, remaining, now) -> 10);
+  private static RequestStateMachine waiting(RequestProfile profile) {
+    RequestStateMachine machine = new RequestStateMachine(profile, (failed, remaining, now) -> 10);
     machine.start(0);
     machine.onIntentGranted();
     return machine;
   }
 
-  private static RequestMachine sent(RequestProfile profile) {
-    RequestMachine machine = waiting(profile);
+  private static RequestStateMachine sent(RequestProfile profile) {
+    RequestStateMachine machine = waiting(profile);
     machine.onAdmitted(1, 0);
     machine.onFirstByte(1);
     return machine;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/request/VerdictMatrixTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/request/VerdictMatrixTest.java
@@ -45,7 +45,7 @@
     NO_SLOT,
     EARLIER_RAN;
 
-    List<RequestEffect> happen(RequestMachine machine, long nowMs) {
+    List<RequestEffect> happen(RequestStateMachine machine, long nowMs) {
       int attempt = machine.attempt();
       return switch (this) {
         case DEADLINE -> machine.onDeadline();
@@ -105,7 +105,7 @@
   @ParameterizedTest
   @CsvSource({"CONNECTING, STOPPING", "SENT, STOPPING", "ANSWERING, STOPPING"})
   void whatIsInFlightGoesOnWhenTheRouterStops(Point point, Failure failure) {
-    RequestMachine machine = at(point, new RequestProfile(true, false, true, DEADLINE_MS));
+    RequestStateMachine machine = at(point, new RequestProfile(true, false, true, DEADLINE_MS));
     assertWithMessage("effects").that(failure.happen(machine, 10)).isEmpty();
     assertWithMessage("state").that(machine.state()).isNotEqualTo(RequestState.ENDED);
   }
@@ -113,7 +113,7 @@
   @ParameterizedTest
   @CsvSource({"CONNECTING, CONNECT_FAILED", "SENT, REFUSED", "SENT, CUT"})
   void bodyThatIsGoneIsNotSentAgain(Point point, Failure failure) {
-    RequestMachine machine = at(point, new RequestProfile(true, false, true, DEADLINE_MS));
+    RequestStateMachine machine = at(point, new RequestProfile(true, false, true, DEADLINE_MS));
     machine.onBodyConsumed();
     List<RequestEffect> effects = failure.happen(machine, 10);
     assertWithMessage("effects").that(effects).isNotEmpty();
@@ -127,7 +127,7 @@
       End end,
       Verdict verdict,
       Verdict settled) {
-    RequestMachine machine = at(point, profile);
+    RequestStateMachine machine = at(point, profile);
     List<RequestEffect> effects = failure.happen(machine, 999);
     List<Outcome> outcomes = new ArrayList<>();
     Verdict settledAs = null;
@@ -163,8 +163,8 @@
   }
 
   /** Brings a request to a point. Retries are due 10 ms later, and impossible at the end. */
-  private static RequestMachine at(Point point, RequestProfile profile) {
-    RequestMachine machine = new RequestMachine(profile, (failed, remaining, now) -> 10);
+  private static RequestStateMachine at(Point point, RequestProfile profile) {
+    RequestStateMachine machine = new RequestStateMachine(profile, (failed, remaining, now) -> 10);
     machine.start(0);
     if (point == Point.CLAIMING) {
       return machine;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/RetryTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/RetryTest.java
@@ -3,17 +3,17 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.request.RetryDecider;
+import io.cuminvalve.core.request.RetryPolicy;
 import io.cuminvalve.core.request.SlotUse;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link RetryBudget} and {@link CircuitBoard}. */
+/** Tests {@link RetryBudget} and {@link TargetCircuitBreakers}. */
 class RetryTest {
 
   private static final RetrySettings SETTINGS = new RetrySettings(0.1, 2, 10, 60, 5, 3, 500, 0.34);
   private static final TargetId FIRST = new TargetId("t0");
 
-  private final CircuitBoard board = new CircuitBoard(SETTINGS);
+  private final TargetCircuitBreakers board = new TargetCircuitBreakers(SETTINGS);
 
   @Test
   void retriesStayWithinTheirShare() {
@@ -21,7 +21,7 @@
     int retries = 0;
     for (int request = 0; request < 1_000; request++) {
       budget.onRequest();
-      retries += budget.delayMs(1, 1_000, 0) == RetryDecider.NO_RETRY ? 0 : 1;
+      retries += budget.delayMs(1, 1_000, 0) == RetryPolicy.NO_RETRY ? 0 : 1;
     }
     assertThat(retries).isAtLeast(100);
     assertThat(retries).isAtMost(102);
@@ -42,8 +42,8 @@
   @Test
   void noRetryBeyondDeadlineOrAttempts() {
     RetryBudget budget = new RetryBudget(SETTINGS, () -> 0.999);
-    assertThat(budget.delayMs(1, 10, 0)).isEqualTo(RetryDecider.NO_RETRY);
-    assertThat(budget.delayMs(5, 1_000, 0)).isEqualTo(RetryDecider.NO_RETRY);
+    assertThat(budget.delayMs(1, 10, 0)).isEqualTo(RetryPolicy.NO_RETRY);
+    assertThat(budget.delayMs(5, 1_000, 0)).isEqualTo(RetryPolicy.NO_RETRY);
     assertThat(budget.delayMs(1, 11, 0)).isEqualTo(10);
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetQuotas.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetQuotas.java
@@ -5,9 +5,9 @@
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.protocol.QuotaReply;
 import io.cuminvalve.core.protocol.QuotaRequest;
-import io.cuminvalve.core.quota.LimitLedger;
 import io.cuminvalve.core.quota.LimitReport;
-import io.cuminvalve.core.quota.QuotaShare;
+import io.cuminvalve.core.quota.LocalQuota;
+import io.cuminvalve.core.quota.TargetLimitTracker;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import io.cuminvalve.kernel.MillisClock;
 import io.cuminvalve.router.request.Timers;
@@ -42,7 +42,7 @@
   private final DecisionLog log;
   private final Timers timers;
   private final RandomGenerator random;
-  private final LimitLedger ledger = new LimitLedger();
+  private final TargetLimitTracker ledger = new TargetLimitTracker();
   private final Map<TargetId, Quota> quotas = new HashMap<>();
   private int gateways = UNKNOWN_GATEWAYS;
   private volatile boolean anyLimit;
@@ -236,13 +236,13 @@
         return true;
       }
       Quota quota = quotaOf(target, perS.getAsDouble());
-      QuotaShare.Decision decision = quota.share.take(priority, gateways, clock.nowMs());
-      if (decision == QuotaShare.Decision.TAKEN) {
+      LocalQuota.Decision decision = quota.share.take(priority, gateways, clock.nowMs());
+      if (decision == LocalQuota.Decision.TAKEN) {
         quota.onSent(clock.nowMs());
         return true;
       }
       question =
-          decision == QuotaShare.Decision.ASK
+          decision == LocalQuota.Decision.ASK
               ? Optional.of(questionOf(target, priority, quota))
               : Optional.empty();
     }
@@ -253,18 +253,18 @@
   private Quota quotaOf(FleetTarget target, double perS) {
     return quotas.computeIfAbsent(
         target.id(),
-        id -> new Quota(id, target.service(), new QuotaShare(perS, random), clock.nowMs()));
+        id -> new Quota(id, target.service(), new LocalQuota(perS, random), clock.nowMs()));
   }
 
   private QuotaRequest questionOf(FleetTarget target, int priority, Quota quota) {
     LimitReport limit = ledger.reports(List.of(target.id()), clock.nowMs()).get(0);
-    return new QuotaRequest(limit, priority, 1, quota.share.expectedSoon());
+    return new QuotaRequest(limit, priority, 1, quota.share.expectedRequests());
   }
 
   /** Requests wait for the answer; if none comes, they have to be looked at again. */
   private void ask(QuotaRequest request, ServiceId service) {
     onAsk.accept(request);
-    timers.schedule(() -> onUsable.accept(service), QuotaShare.ANSWER_MS + 1);
+    timers.schedule(() -> onUsable.accept(service), LocalQuota.ANSWER_MS + 1);
   }
 
   /**
@@ -301,7 +301,7 @@
   /** Refuses a request because of a target, and promises its caller a time. */
   synchronized TargetRefusal refuse(TargetId target, int priority) {
     Quota quota = quotas.get(target);
-    long retryAfterMs = quota == null ? 1 : quota.share.promiseMs(priority, clock.nowMs());
+    long retryAfterMs = quota == null ? 1 : quota.share.nextRetryAfterMs(priority, clock.nowMs());
     return TargetRefusal.forLimit(target, ledger.limitOf(target).orElse(0), retryAfterMs);
   }
 
@@ -320,11 +320,11 @@
 
     private final TargetId target;
     private final ServiceId service;
-    private final QuotaShare share;
+    private final LocalQuota share;
     private long sinceMs;
     private int sent;
 
-    Quota(TargetId target, ServiceId service, QuotaShare share, long nowMs) {
+    Quota(TargetId target, ServiceId service, LocalQuota share, long nowMs) {
       this.target = target;
       this.service = service;
       this.share = share;
@@ -343,7 +343,7 @@
           ledger.limitOf(target).orElse(0),
           sent,
           nowMs - sinceMs,
-          share.isAlone());
+          share.isIssuerUnreachable());
       sent = 0;
       sinceMs = nowMs;
     }
--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/caller/CallerExchange.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/caller/CallerExchange.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.router.caller;
 
 import io.cuminvalve.core.request.RequestEffect;
-import io.cuminvalve.core.request.RequestMachine;
+import io.cuminvalve.core.request.RequestStateMachine;
 import io.cuminvalve.core.verdict.Outcome;
 import io.cuminvalve.core.verdict.RefusalReason;
 import io.cuminvalve.core.verdict.TargetRefusal;
@@ -25,8 +25,8 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * Carries one request of a caller: feeds events to its {@link RequestMachine} one at a time and
- * carries out the effects in their order.
+ * Carries one request of a caller: feeds events to its {@link RequestStateMachine} one at a time
+ * and carries out the effects in their order.
  */
 final class CallerExchange {
 
@@ -35,7 +35,7 @@
 
   private final ExchangeServices services;
   private final RequestContext context;
-  private final RequestMachine machine;
+  private final RequestStateMachine machine;
   private final RequestTrail trail;
   private final CallerCall call;
   private final RequestBody body;
@@ -51,7 +51,7 @@
   CallerExchange(
       ExchangeServices services,
       RequestContext context,
-      RequestMachine machine,
+      RequestStateMachine machine,
       RequestTrail trail,
       CallerCall call,
       Consumer<CallerExchange> onEnded) {
--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/caller/CallerHandler.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/caller/CallerHandler.java
@@ -1,9 +1,9 @@
 package io.cuminvalve.router.caller;
 
 import io.cuminvalve.core.id.RequestId;
-import io.cuminvalve.core.request.RequestMachine;
 import io.cuminvalve.core.request.RequestProfile;
-import io.cuminvalve.core.request.RetryTimes;
+import io.cuminvalve.core.request.RequestStateMachine;
+import io.cuminvalve.core.request.RetryDefaults;
 import io.cuminvalve.core.verdict.Outcome;
 import io.cuminvalve.core.verdict.RefusalReason;
 import io.cuminvalve.core.verdict.RetryAdvice;
@@ -144,7 +144,7 @@
             !context.rule().idempotent() && context.idempotencyKey() != null,
             call.keptBody() != null || !call.hasBody(),
             context.deadlineMs());
-    RequestMachine machine = new RequestMachine(profile, inForce.retryDecider());
+    RequestStateMachine machine = new RequestStateMachine(profile, inForce.retryDecider());
     inForce.onRequest().run();
     RequestTrail trail = services.observer().begin(context);
     CallerExchange exchange =
@@ -163,7 +163,7 @@
     boolean resendPossible = call.request().getHeaders().contains(CallerHeaders.IDEMPOTENCY_KEY);
     Verdict verdict = resendPossible ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
     boolean later = reason.advice(verdict) == RetryAdvice.RETRY;
-    long retryAfterMs = later ? RetryTimes.DEFAULT_RETRY_AFTER_MS : 0;
+    long retryAfterMs = later ? RetryDefaults.DEFAULT_RETRY_AFTER_MS : 0;
     Outcome outcome = Outcome.refused(verdict, reason, retryAfterMs);
     ErrorAnswer.write(call.response(), id, outcome, call.callback());
   }
--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/caller/CallerRules.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/caller/CallerRules.java
@@ -1,6 +1,6 @@
 package io.cuminvalve.router.caller;
 
-import io.cuminvalve.core.request.RetryDecider;
+import io.cuminvalve.core.request.RetryPolicy;
 import io.cuminvalve.core.routing.RequestMatcher;
 
 /**
@@ -11,4 +11,4 @@
  * @param onRequest told of each request, so that retries stay a share of them; not null
  * @since 0.1
  */
-public record CallerRules(RequestMatcher matcher, RetryDecider retryDecider, Runnable onRequest) {}
+public record CallerRules(RequestMatcher matcher, RetryPolicy retryDecider, Runnable onRequest) {}
--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/control/CellDesks.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/control/CellDesks.java
@@ -1,6 +1,6 @@
 package io.cuminvalve.router.control;
 
-import io.cuminvalve.core.admission.AdmissionDesk;
+import io.cuminvalve.core.admission.AdmissionCoordinator;
 import io.cuminvalve.core.admission.AdmissionSettings;
 import io.cuminvalve.core.admission.AdmissionSink;
 import io.cuminvalve.core.hotkey.LoadMeter;
@@ -17,8 +17,8 @@
 import io.cuminvalve.core.protocol.LoadReport;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.core.request.SlotUse;
-import io.cuminvalve.core.retry.CircuitBoard;
 import io.cuminvalve.core.retry.RetrySettings;
+import io.cuminvalve.core.retry.TargetCircuitBreakers;
 import io.cuminvalve.core.table.KeyHasher;
 import io.cuminvalve.core.table.RegisteredRouter;
 import io.cuminvalve.core.table.ShardTable;
@@ -50,9 +50,9 @@
  */
 public final class CellDesks implements IntentClaims {
 
-  private final AdmissionDesk admission;
+  private final AdmissionCoordinator admission;
   private final IntentDesk intents;
-  private final CircuitBoard circuits = new CircuitBoard(RetrySettings.DEFAULT);
+  private final TargetCircuitBreakers circuits = new TargetCircuitBreakers(RetrySettings.DEFAULT);
   private final PeerNetwork network;
   private final Executor executor;
   private final MillisClock clock;
@@ -90,7 +90,8 @@
     this.executor = executor;
     this.clock = clock;
     this.admission =
-        new AdmissionDesk(cell, self, incarnation, AdmissionSettings.DEFAULT, new Admissions());
+        new AdmissionCoordinator(
+            cell, self, incarnation, AdmissionSettings.DEFAULT, new Admissions());
     this.intents = new IntentDesk(cell, self, incarnation, IntentSettings.DEFAULT, new Intents());
   }
 
--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/control/OwnerSlots.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/control/OwnerSlots.java
@@ -2,7 +2,7 @@
 
 import io.cuminvalve.core.authority.RoutingView;
 import io.cuminvalve.core.id.CellId;
-import io.cuminvalve.core.request.RetryTimes;
+import io.cuminvalve.core.request.RetryDefaults;
 import io.cuminvalve.core.request.SlotUse;
 import io.cuminvalve.core.table.KeyHasher;
 import io.cuminvalve.core.table.ShardTable;
@@ -155,7 +155,7 @@
 
     void refuse(RefusalReason reason) {
       if (decide()) {
-        listener.onRefused(reason, RetryTimes.DEFAULT_RETRY_AFTER_MS);
+        listener.onRefused(reason, RetryDefaults.DEFAULT_RETRY_AFTER_MS);
       }
     }
 
--- a/cuminvalve-router/src/test/java/io/cuminvalve/router/caller/CallerPathTest.java
+++ b/cuminvalve-router/src/test/java/io/cuminvalve/router/caller/CallerPathTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.cuminvalve.core.request.RetryDecider;
+import io.cuminvalve.core.request.RetryPolicy;
 import io.cuminvalve.core.request.SlotUse;
 import io.cuminvalve.router.caller.RawCaller.Answer;
 import io.cuminvalve.router.target.TargetHeaders;
@@ -231,7 +231,7 @@
                 });
         PathFixture path = new PathFixture(target.address());
         RawCaller caller = path.caller()) {
-      path.retryDecider = (failed, remainingMs, now) -> failed == 1 ? 5 : RetryDecider.NO_RETRY;
+      path.retryDecider = (failed, remainingMs, now) -> failed == 1 ? 5 : RetryPolicy.NO_RETRY;
       caller.get("/claims/a");
       target.nextHead();
       assertThat(path.releases.poll(BROKEN_AFTER_S, TimeUnit.SECONDS)).isEqualTo(SlotUse.BROKEN);
--- a/cuminvalve-router/src/test/java/io/cuminvalve/router/caller/PathFixture.java
+++ b/cuminvalve-router/src/test/java/io/cuminvalve/router/caller/PathFixture.java
@@ -4,7 +4,7 @@
 import io.cuminvalve.core.id.RuleId;
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.request.RetryDecider;
+import io.cuminvalve.core.request.RetryPolicy;
 import io.cuminvalve.core.request.SlotUse;
 import io.cuminvalve.core.routing.RequestMatcher;
 import io.cuminvalve.core.rule.KeySource;
@@ -49,7 +49,7 @@
   final BlockingQueue<String> cancelled = new LinkedBlockingQueue<>();
   final TargetRecord target;
   final CallerHandler handler;
-  volatile RetryDecider retryDecider = (failed, remainingMs, now) -> RetryDecider.NO_RETRY;
+  volatile RetryPolicy retryDecider = (failed, remainingMs, now) -> RetryPolicy.NO_RETRY;
   volatile boolean grantable = true;
   private final TargetClient client;
   private final CallerServer server;
