--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionCoordinator.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionCoordinator.java
@@ -28,15 +28,15 @@
 import java.util.function.Consumer;
 
 /**
- * The admission of one router for one cell: asks the gate of each target for slots, and is the gate
- * of the targets that the registered routers give it.
+ * Admission control of one router for one cell: requests slots from the gate of each target, and is
+ * itself the gate of the targets that rendezvous hashing assigns to it.
  *
  * <p>The gate of a target is the first choice of {@link RendezvousHash} among the registered
- * routers, so that every router finds it without asking. When it changes, the new gate grants
- * nothing before each registered router that answers has told its permits; slots are kept for a
- * while for those that do not answer.
+ * routers, so every router can compute it locally. After a change, the new gate grants nothing
+ * until all registered routers have reported their permits or the gate timeout has passed. For
+ * routers that did not report, it reserves slots until their permits must have expired.
  *
- * <p>Not thread-safe: the caller serialises all calls of one desk.
+ * <p>Not thread-safe: the caller serialises all calls to one instance.
  *
  * @since 0.1
  */
@@ -47,23 +47,23 @@
   private final Incarnation incarnation;
   private final AdmissionSettings settings;
   private final AdmissionSink sink;
-  private final Map<TargetId, TargetAdmission> desks = new HashMap<>();
-  private final PermitRecovery learning = new PermitRecovery();
-  private final RouterIncarnations runs;
-  private final Map<RouterId, PermitReportRequest> reportsDue = new HashMap<>();
+  private final Map<TargetId, TargetAdmission> admissions = new HashMap<>();
+  private final PermitRecovery recovery = new PermitRecovery();
+  private final RouterIncarnations incarnations;
+  private final Map<RouterId, PermitReportRequest> deferredReports = new HashMap<>();
   private TableVersion version = TableVersion.NONE;
   private List<RegisteredRouter> routers = List.of();
   private boolean closing;
-  private boolean closedSaid;
+  private boolean closeAnnounced;
 
   /**
-   * Creates the desk of a router that has no table yet.
+   * Creates the admission control of a router that has no table yet.
    *
    * @param cell the cell; not null
    * @param self the router; not null
-   * @param incarnation its current run; not null
-   * @param settings limits and times; not null
-   * @param sink receives the effects; not null
+   * @param incarnation the current incarnation of this router; not null
+   * @param settings limits and timeouts; not null
+   * @param sink receives decisions and outgoing messages; not null
    */
   public AdmissionCoordinator(
       CellId cell,
@@ -76,31 +76,31 @@
     this.incarnation = incarnation;
     this.settings = settings;
     this.sink = sink;
-    this.runs = new RouterIncarnations(settings.lostPermitMs());
+    this.incarnations = new RouterIncarnations(settings.lostPermitMs());
   }
 
   /**
-   * Takes the targets of the cell.
+   * Sets the targets of the cell.
    *
    * @param instances the instances of the cell's service; not null
    * @param nowMs the current time in milliseconds
    */
   public void onTargets(List<Instance> instances, long nowMs) {
     for (Instance instance : instances) {
-      TargetAdmission desk = desks.get(instance.id());
-      if (desk == null) {
-        desk = new TargetAdmission(this, instance.id(), instance.slots());
-        desks.put(instance.id(), desk);
-        desk.setGate(gateOf(instance.id()), nowMs);
+      TargetAdmission admission = admissions.get(instance.id());
+      if (admission == null) {
+        admission = new TargetAdmission(this, instance.id(), instance.slots());
+        admissions.put(instance.id(), admission);
+        admission.setGate(gateOf(instance.id()), nowMs);
       } else {
-        desk.resize(instance.slots(), nowMs);
+        admission.resize(instance.slots(), nowMs);
       }
     }
-    startLearning(routers, nowMs);
+    startRecovery(routers, nowMs);
   }
 
   /**
-   * Takes a table version.
+   * Installs a table version.
    *
    * @param newVersion the version; older ones are ignored; not null
    * @param newRouters its registered routers; not null
@@ -115,21 +115,23 @@
       List<RegisteredRouter> earlier = routers;
       routers = List.copyOf(newRouters);
       dropRemovedRouters(earlier);
-      desks.values().forEach(desk -> desk.setGate(gateOf(desk.target()), nowMs));
-      startLearning(earlier, nowMs);
+      admissions
+          .values()
+          .forEach(admission -> admission.setGate(gateOf(admission.target()), nowMs));
+      startRecovery(earlier, nowMs);
     }
-    List<PermitReportRequest> due = new ArrayList<>(reportsDue.values());
-    reportsDue.clear();
-    due.forEach(request -> onReportRequest(request, nowMs));
+    List<PermitReportRequest> ready = new ArrayList<>(deferredReports.values());
+    deferredReports.clear();
+    ready.forEach(request -> onReportRequest(request, nowMs));
   }
 
   /**
-   * Asks for a slot; the sink gets the answer, at once or later.
+   * Requests a slot. The sink receives the decision, possibly before this method returns.
    *
-   * @param permit a number that this run of the router never used before
+   * @param permit a number that this incarnation of the router has not used before
    * @param target the target; not null
-   * @param tenant on whose behalf; not null
-   * @param requestClass how urgent; not null
+   * @param tenant the tenant of the request; not null
+   * @param requestClass the class of the request; not null
    * @param deadlineMs the deadline on the router's clock
    * @param nowMs the current time in milliseconds
    */
@@ -140,50 +142,50 @@
       RequestClass requestClass,
       long deadlineMs,
       long nowMs) {
-    TargetAdmission desk = desks.get(target);
-    if (closing || desk == null) {
+    TargetAdmission admission = admissions.get(target);
+    if (closing || admission == null) {
       RefusalReason reason =
           closing ? RefusalReason.ROUTER_STOPPING : RefusalReason.SHARD_UNAVAILABLE;
       sink.refused(permit, reason, settings.gateTimeoutMs());
       return;
     }
-    desk.admit(permit, tenant, requestClass, deadlineMs, nowMs);
+    admission.admit(permit, tenant, requestClass, deadlineMs, nowMs);
   }
 
   /**
-   * Returns a slot: nothing of its request is in flight.
+   * Returns a slot. No part of its request may still be in flight.
    *
    * @param permit the number of the permit
    * @param target the target; not null
-   * @param use how it was used; not null
-   * @param serviceMs milliseconds from the first byte to the end
+   * @param use how the slot was used; not null
+   * @param serviceMs the service time in milliseconds, from the first byte to the end
    * @param nowMs the current time in milliseconds
    */
   public void release(long permit, TargetId target, SlotUse use, long serviceMs, long nowMs) {
-    TargetAdmission desk = desks.get(target);
-    if (desk != null) {
-      desk.release(permit, use, serviceMs, nowMs);
+    TargetAdmission admission = admissions.get(target);
+    if (admission != null) {
+      admission.release(permit, use, serviceMs, nowMs);
     }
-    sayClosed();
+    announceClosed();
   }
 
   /**
-   * Waits for a slot no more. A grant that comes nevertheless is returned by the desk.
+   * Withdraws a request for a slot. A grant that arrives afterwards is returned to the gate.
    *
    * @param permit the number of the permit
    * @param target the target; not null
    * @param nowMs the current time in milliseconds
    */
   public void withdraw(long permit, TargetId target, long nowMs) {
-    TargetAdmission desk = desks.get(target);
-    if (desk != null) {
-      desk.withdraw(permit, nowMs);
+    TargetAdmission admission = admissions.get(target);
+    if (admission != null) {
+      admission.withdraw(permit, nowMs);
     }
-    sayClosed();
+    announceClosed();
   }
 
   /**
-   * Takes a message of another router. Messages that are not about permits are ignored.
+   * Handles a message of another router. Messages of other types are ignored.
    *
    * @param message the message; not null
    * @param from the sender; not null
@@ -195,9 +197,9 @@
     } else if (message instanceof PermitGranted granted) {
       onGranted(granted, from);
     } else if (message instanceof PermitQueued queued) {
-      withDesk(queued.target(), queued.receiver(), d -> d.onQueued(queued.permit(), from, nowMs));
+      withTarget(queued.target(), queued.receiver(), t -> t.onQueued(queued.permit(), from, nowMs));
     } else if (message instanceof PermitRefused refused) {
-      withDesk(refused.target(), refused.receiver(), d -> d.onRefused(refused, from, nowMs));
+      withTarget(refused.target(), refused.receiver(), t -> t.onRefused(refused, from, nowMs));
     } else if (message instanceof PermitReleased released) {
       onReleased(released, nowMs);
     } else if (message instanceof PermitWithdrawn withdrawn) {
@@ -207,41 +209,41 @@
     } else if (message instanceof PermitReport report) {
       onReport(report, nowMs);
     } else if (message instanceof PermitsClosed closed) {
-      runs.onCleanEnd(closed.router(), closed.incarnation());
+      incarnations.onCleanEnd(closed.router(), closed.incarnation());
     }
   }
 
   /**
-   * Lets time pass; to be called at least every 20 milliseconds.
+   * Handles timeouts; call it at least every 20 milliseconds.
    *
    * @param nowMs the current time in milliseconds
    */
   public void tick(long nowMs) {
-    if (learning.isOver(nowMs)) {
-      finishLearning(nowMs);
+    if (recovery.isOver(nowMs)) {
+      finishRecovery(nowMs);
     }
-    learning.routersToAskAgain(nowMs, settings.gateTimeoutMs()).forEach(this::askForReport);
-    desks.values().forEach(desk -> desk.tick(nowMs));
+    recovery.routersToRetry(nowMs, settings.gateTimeoutMs()).forEach(this::requestReport);
+    admissions.values().forEach(admission -> admission.tick(nowMs));
   }
 
   /**
-   * Gives this router no further slots. Once it holds none it tells the others, so that none is
-   * kept for it when it leaves.
+   * Stops admitting requests of this router. Once it holds no permits, it notifies the other
+   * routers, so that they reserve no slots for it after it has left.
    */
   public void close() {
     closing = true;
-    sayClosed();
+    announceClosed();
   }
 
   /**
-   * Counts the permits in use of this router's own gates.
+   * Returns the number of permits in use of a target whose gate is this router.
    *
    * @param target the target; not null
-   * @return 0 if this router is not the gate
+   * @return the number; 0 if this router is not the gate
    */
   public int inUseAtOwnGate(TargetId target) {
-    TargetAdmission desk = desks.get(target);
-    return desk == null ? 0 : desk.inUseAtOwnGate();
+    TargetAdmission admission = admissions.get(target);
+    return admission == null ? 0 : admission.inUseAtOwnGate();
   }
 
   RouterId self() {
@@ -268,7 +270,7 @@
     return sink;
   }
 
-  /** Returns how many slots a gate may give to the router that runs it. */
+  /** Returns how many slots a gate may grant to its own router. */
   int localLimit(int slots) {
     return routers.size() <= 1 ? slots : Math.max(1, slots - 1);
   }
@@ -281,7 +283,7 @@
   private void dropRemovedRouters(List<RegisteredRouter> earlier) {
     for (RegisteredRouter router : earlier) {
       if (!isRegistered(router.id())) {
-        desks.values().forEach(desk -> desk.onRouterLost(router.id(), 0));
+        admissions.values().forEach(admission -> admission.onRouterLost(router.id(), 0));
       }
     }
   }
@@ -290,53 +292,53 @@
     return routers.stream().anyMatch(registered -> registered.id().equals(router));
   }
 
-  private void startLearning(List<RegisteredRouter> earlier, long nowMs) {
-    List<TargetAdmission> shut =
-        desks.values().stream().filter(TargetAdmission::isLearning).toList();
-    if (shut.isEmpty()) {
+  private void startRecovery(List<RegisteredRouter> earlier, long nowMs) {
+    List<TargetAdmission> recovering =
+        admissions.values().stream().filter(TargetAdmission::isRecovering).toList();
+    if (recovering.isEmpty()) {
       return;
     }
-    learning.start(nowMs + settings.gateTimeoutMs(), nowMs);
+    recovery.start(nowMs + settings.gateTimeoutMs(), nowMs);
     for (RegisteredRouter router : routers) {
       if (!router.id().equals(self)) {
-        learning.await(router.id());
-        askForReport(router.id());
+        recovery.await(router.id());
+        requestReport(router.id());
       }
     }
     for (RegisteredRouter router : earlier) {
-      if (!isRegistered(router.id()) && !runs.endedCleanly(router.id())) {
-        shut.forEach(desk -> reserve(desk, router.id(), nowMs));
+      if (!isRegistered(router.id()) && !incarnations.endedCleanly(router.id())) {
+        recovering.forEach(admission -> reserve(admission, router.id(), nowMs));
       }
     }
-    if (learning.isOver(nowMs)) {
-      finishLearning(nowMs);
+    if (recovery.isOver(nowMs)) {
+      finishRecovery(nowMs);
     }
   }
 
-  private void askForReport(RouterId router) {
+  private void requestReport(RouterId router) {
     sink.send(router, new PermitReportRequest(cell, self, incarnation, version));
   }
 
-  private void finishLearning(long nowMs) {
-    List<RouterId> silent = learning.finish();
-    silent.removeIf(runs::endedCleanly);
-    for (TargetAdmission desk : desks.values()) {
-      if (desk.isLearning()) {
-        silent.forEach(router -> reserve(desk, router, nowMs));
-        desk.open(nowMs);
+  private void finishRecovery(long nowMs) {
+    List<RouterId> silent = recovery.finish();
+    silent.removeIf(incarnations::endedCleanly);
+    for (TargetAdmission admission : admissions.values()) {
+      if (admission.isRecovering()) {
+        silent.forEach(router -> reserve(admission, router, nowMs));
+        admission.open(nowMs);
       }
     }
   }
 
-  private void reserve(TargetAdmission desk, RouterId holder, long nowMs) {
+  private void reserve(TargetAdmission admission, RouterId holder, long nowMs) {
     long endsAtMs = nowMs + settings.routeLeaseMs() + settings.lostPermitMs();
-    desk.reserve(holder, Math.max(1, routers.size()), endsAtMs);
+    admission.reserve(holder, Math.max(1, routers.size()), endsAtMs);
   }
 
   private void onRequest(PermitRequest request, long nowMs) {
-    noteRun(request.router(), request.incarnation(), nowMs);
-    TargetAdmission desk = desks.get(request.target());
-    if (desk == null || !desk.isGate()) {
+    recordIncarnation(request.router(), request.incarnation(), nowMs);
+    TargetAdmission admission = admissions.get(request.target());
+    if (admission == null || !admission.isGate()) {
       sink.send(
           request.router(),
           new PermitRefused(
@@ -349,15 +351,15 @@
               request.incarnation()));
       return;
     }
-    desk.onRequest(request, nowMs);
+    admission.onRequest(request, nowMs);
   }
 
   private void onGranted(PermitGranted granted, RouterId from) {
-    TargetAdmission desk = desks.get(granted.target());
+    TargetAdmission admission = admissions.get(granted.target());
     boolean wanted =
-        desk != null
+        admission != null
             && granted.receiver().equals(incarnation)
-            && desk.onGranted(granted.permit(), from);
+            && admission.onGranted(granted.permit(), from);
     if (!wanted) {
       sink.send(
           from,
@@ -373,73 +375,78 @@
   }
 
   private void onReleased(PermitReleased released, long nowMs) {
-    TargetAdmission desk = desks.get(released.target());
-    if (desk != null) {
-      desk.onReleased(released, nowMs);
+    TargetAdmission admission = admissions.get(released.target());
+    if (admission != null) {
+      admission.onReleased(released, nowMs);
     }
   }
 
   private void onWithdrawn(PermitWithdrawn withdrawn, long nowMs) {
-    TargetAdmission desk = desks.get(withdrawn.target());
-    if (desk != null) {
-      desk.onWithdrawn(withdrawn, nowMs);
+    TargetAdmission admission = admissions.get(withdrawn.target());
+    if (admission != null) {
+      admission.onWithdrawn(withdrawn, nowMs);
     }
   }
 
   private void onReportRequest(PermitReportRequest request, long nowMs) {
     if (request.version().isNewerThan(version)) {
-      reportsDue.put(request.gate(), request);
+      deferredReports.put(request.gate(), request);
       return;
     }
-    boolean sawEarlierRun = runs.sawEarlierRun(request.gate(), request.gateIncarnation(), nowMs);
-    noteRun(request.gate(), request.gateIncarnation(), nowMs);
+    boolean sawEarlierRun =
+        incarnations.sawEarlierRun(request.gate(), request.gateIncarnation(), nowMs);
+    recordIncarnation(request.gate(), request.gateIncarnation(), nowMs);
     List<PermitInUse> held = new ArrayList<>();
-    desks.values().forEach(desk -> desk.listHeld(held, nowMs));
+    admissions.values().forEach(admission -> admission.addHeldPermits(held, nowMs));
     sink.send(
         request.gate(), new PermitReport(cell, self, incarnation, version, sawEarlierRun, held));
   }
 
   private void onReport(PermitReport report, long nowMs) {
-    noteRun(report.router(), report.incarnation(), nowMs);
+    recordIncarnation(report.router(), report.incarnation(), nowMs);
     if (version.isNewerThan(report.version())) {
       return;
     }
     for (PermitInUse permit : report.permits()) {
-      TargetAdmission desk = desks.get(permit.target());
-      if (desk != null) {
-        desk.adopt(report.router(), report.incarnation(), permit, nowMs);
+      TargetAdmission admission = admissions.get(permit.target());
+      if (admission != null) {
+        admission.adopt(report.router(), report.incarnation(), permit, nowMs);
       }
     }
-    desks.values().forEach(desk -> desk.onReported(report.router(), nowMs));
+    admissions.values().forEach(admission -> admission.onReported(report.router(), nowMs));
     if (report.sawEarlierRun()) {
-      desks.values().stream()
-          .filter(TargetAdmission::isLearning)
-          .forEach(desk -> desk.reserveForEarlierRun(nowMs + settings.lostPermitMs()));
+      admissions.values().stream()
+          .filter(TargetAdmission::isRecovering)
+          .forEach(
+              admission ->
+                  admission.reserveForPreviousIncarnation(nowMs + settings.lostPermitMs()));
     }
-    learning.onReport(report.router());
-    if (learning.isOver(nowMs)) {
-      finishLearning(nowMs);
+    recovery.onReport(report.router());
+    if (recovery.isOver(nowMs)) {
+      finishRecovery(nowMs);
     }
   }
 
-  private void noteRun(RouterId router, Incarnation run, long nowMs) {
-    if (runs.isNewRun(router, run, nowMs)) {
-      desks.values().forEach(desk -> desk.onRouterLost(router, run.value()));
+  private void recordIncarnation(RouterId router, Incarnation seen, long nowMs) {
+    if (incarnations.recordSeen(router, seen, nowMs)) {
+      admissions.values().forEach(admission -> admission.onRouterLost(router, seen.value()));
     }
   }
 
-  private void withDesk(TargetId target, Incarnation receiver, Consumer<TargetAdmission> action) {
-    TargetAdmission desk = desks.get(target);
-    if (desk != null && receiver.equals(incarnation)) {
-      action.accept(desk);
+  private void withTarget(TargetId target, Incarnation receiver, Consumer<TargetAdmission> action) {
+    TargetAdmission admission = admissions.get(target);
+    if (admission != null && receiver.equals(incarnation)) {
+      action.accept(admission);
     }
   }
 
-  private void sayClosed() {
-    if (!closing || closedSaid || desks.values().stream().anyMatch(TargetAdmission::holdsAny)) {
+  private void announceClosed() {
+    if (!closing
+        || closeAnnounced
+        || admissions.values().stream().anyMatch(TargetAdmission::hasOutstandingPermits)) {
       return;
     }
-    closedSaid = true;
+    closeAnnounced = true;
     for (RegisteredRouter router : routers) {
       if (!router.id().equals(self)) {
         sink.send(router.id(), new PermitsClosed(cell, self, incarnation));
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionSettings.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionSettings.java
@@ -1,19 +1,19 @@
 package io.cuminvalve.core.admission;
 
 /**
- * Limits and times of admission.
+ * Limits and timeouts of admission control.
  *
- * @param maxQueuedPerSlot how many requests of one class may wait per slot of a target
- * @param deferrableShare the share of slot time that deferrable work gets while it waits; from 0 to
- *     less than 1
- * @param maxPermitMs the longest time that a permit may be held, and so the longest deadline;
- *     milliseconds
- * @param lostPermitMs how long slots are kept for the requests of a router that was lost together
- *     with the knowledge of its permits; milliseconds
- * @param closeGraceMs how long after its deadline an attempt may take to be closed; milliseconds
- * @param gateTimeoutMs how long a request waits for a sign of its gate; milliseconds
- * @param routeLeaseMs how long a router may dispatch after it lost contact, margin included;
- *     milliseconds
+ * @param maxQueuedPerSlot the maximum number of queued requests of one class per slot of a target
+ * @param deferrableShare the share of slot time reserved for deferrable requests while any are
+ *     queued; from 0 to less than 1
+ * @param maxPermitMs the longest time that a permit may be held, which also bounds the deadline of
+ *     a request; milliseconds
+ * @param lostPermitMs how long slots stay reserved for a lost router whose permits no other router
+ *     knows; milliseconds
+ * @param closeGraceMs how long closing an attempt may take after its deadline; milliseconds
+ * @param gateTimeoutMs how long a request waits for a reply of its gate; milliseconds
+ * @param routeLeaseMs how long a router may keep dispatching after it lost contact, safety margin
+ *     included; milliseconds
  * @since 0.1
  */
 public record AdmissionSettings(
@@ -25,7 +25,7 @@
     long gateTimeoutMs,
     long routeLeaseMs) {
 
-  /** Settings that suit services with answers within seconds. */
+  /** Defaults for services that answer within seconds. */
   public static final AdmissionSettings DEFAULT =
       new AdmissionSettings(64, 0.1, 30_000, 2_000, 500, 300, 1_000);
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionSink.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionSink.java
@@ -5,33 +5,33 @@
 import io.cuminvalve.core.verdict.RefusalReason;
 
 /**
- * Receives the effects of an {@link AdmissionCoordinator}. Calls may come before the call that
- * caused them returns.
+ * Receives the decisions and outgoing messages of an {@link AdmissionCoordinator}. Calls may occur
+ * before the call that caused them returns.
  *
  * @since 0.1
  */
 public interface AdmissionSink {
 
   /**
-   * A request of this router has its slot.
+   * Called when a request of this router was granted a slot.
    *
    * @param permit the number of the permit
    */
   void granted(long permit);
 
   /**
-   * A request of this router gets no slot.
+   * Called when a request of this router was refused a slot.
    *
    * @param permit the number of the permit
-   * @param reason why; not null
-   * @param retryAfterMs when to come back; milliseconds
+   * @param reason the reason; not null
+   * @param retryAfterMs when to retry; milliseconds
    */
   void refused(long permit, RefusalReason reason, long retryAfterMs);
 
   /**
-   * Send a message to another router; loss is tolerated.
+   * Sends a message to another router. The protocol tolerates loss.
    *
-   * @param to the receiver; not null
+   * @param to the receiving router; not null
    * @param message the message; not null
    */
   void send(RouterId to, PeerMessage message);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/FairQueue.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/FairQueue.java
@@ -10,28 +10,29 @@
 import java.util.function.Predicate;
 
 /**
- * Waiting requests of one class, served by deficit round robin over tenants.
+ * Queue of waiting requests of one class, served by deficit round robin over tenants.
  *
- * <p>The deficit counts milliseconds of slot time. A request is charged the mean service time when
- * it leaves the queue, and the difference to its real time when its slot is released.
+ * <p>Deficits are counted in milliseconds of slot time. A request is charged the mean service time
+ * when it leaves the queue, and the difference to its actual service time when its slot is
+ * released.
  *
  * @since 0.1
  */
 final class FairQueue {
 
-  /** How many mean requests a tenant may be behind or ahead. */
+  /** Bound of a tenant's deficit, positive or negative, in multiples of the mean service time. */
   private static final double MAX_DEFICIT_REQUESTS = 8;
 
   private final ArrayDeque<TenantQueue> ring = new ArrayDeque<>();
   private final Map<TenantId, TenantQueue> byTenant = new HashMap<>();
   private int size;
 
-  /** The requests of one tenant in the order of their arrival. */
+  /** The requests of one tenant in order of arrival. */
   private static final class TenantQueue {
 
     private final ArrayDeque<Waiter> waiters = new ArrayDeque<>();
     private double deficitMs;
-    private boolean inTurn;
+    private boolean hasTurn;
   }
 
   int size() {
@@ -59,21 +60,21 @@
   }
 
   /**
-   * Takes the next request that may be served.
+   * Removes and returns the next request that may be served.
    *
-   * @param costMs the mean service time, above 0
-   * @param excluded the router whose requests must wait; null if none must
-   * @return null if nothing waits that may be served
+   * @param costMs the mean service time; milliseconds; above 0
+   * @param excluded the router whose requests are skipped; null if none
+   * @return null if there is no such request
    */
   Waiter poll(double costMs, RouterId excluded) {
-    if (!hasOther(excluded)) {
+    if (!hasEligible(excluded)) {
       return null;
     }
     while (true) {
       TenantQueue queue = ring.peekFirst();
-      Waiter next = firstOther(queue, excluded);
-      if (!queue.inTurn) {
-        queue.inTurn = true;
+      Waiter next = firstEligible(queue, excluded);
+      if (!queue.hasTurn) {
+        queue.hasTurn = true;
         queue.deficitMs += next == null ? 0 : costMs;
       }
       if (next != null && queue.deficitMs >= costMs) {
@@ -81,12 +82,12 @@
         take(queue, next);
         return next;
       }
-      queue.inTurn = false;
+      queue.hasTurn = false;
       ring.addLast(ring.pollFirst());
     }
   }
 
-  /** Charges a tenant that still waits for the difference between real and mean service time. */
+  /** Charges a tenant with queued requests the difference of actual and mean service time. */
   void charge(TenantId tenant, double differenceMs, double costMs) {
     TenantQueue queue = byTenant.get(tenant);
     if (queue != null) {
@@ -95,7 +96,7 @@
     }
   }
 
-  /** Takes the newest request of the tenant that has most, if it has more than a given number. */
+  /** Removes the newest request of the longest tenant queue if it exceeds a given length. */
   Waiter pollFromLongest(int moreThan) {
     TenantQueue longest = null;
     for (TenantQueue queue : byTenant.values()) {
@@ -108,7 +109,7 @@
     }
     Waiter newest = longest.waiters.pollLast();
     size--;
-    forgetIfEmpty(longest, newest.tenant());
+    removeIfEmpty(longest, newest.tenant());
     return newest;
   }
 
@@ -123,38 +124,38 @@
     return null;
   }
 
-  /** Removes requests and reports each. */
+  /** Removes all matching requests and passes each one to a consumer. */
   void removeIf(Predicate<Waiter> unwanted, Consumer<Waiter> removed) {
     for (TenantQueue queue : ring.toArray(new TenantQueue[0])) {
       TenantId tenant = null;
-      for (Iterator<Waiter> all = queue.waiters.iterator(); all.hasNext(); ) {
-        Waiter waiter = all.next();
+      for (Iterator<Waiter> iterator = queue.waiters.iterator(); iterator.hasNext(); ) {
+        Waiter waiter = iterator.next();
         if (unwanted.test(waiter)) {
-          all.remove();
+          iterator.remove();
           size--;
           tenant = waiter.tenant();
           removed.accept(waiter);
         }
       }
       if (tenant != null) {
-        forgetIfEmpty(queue, tenant);
+        removeIfEmpty(queue, tenant);
       }
     }
   }
 
-  private boolean hasOther(RouterId excluded) {
+  private boolean hasEligible(RouterId excluded) {
     if (excluded == null) {
       return size > 0;
     }
     for (TenantQueue queue : ring) {
-      if (firstOther(queue, excluded) != null) {
+      if (firstEligible(queue, excluded) != null) {
         return true;
       }
     }
     return false;
   }
 
-  private static Waiter firstOther(TenantQueue queue, RouterId excluded) {
+  private static Waiter firstEligible(TenantQueue queue, RouterId excluded) {
     for (Waiter waiter : queue.waiters) {
       if (!waiter.router().equals(excluded)) {
         return waiter;
@@ -166,10 +167,10 @@
   private void take(TenantQueue queue, Waiter waiter) {
     queue.waiters.remove(waiter);
     size--;
-    forgetIfEmpty(queue, waiter.tenant());
+    removeIfEmpty(queue, waiter.tenant());
   }
 
-  private void forgetIfEmpty(TenantQueue queue, TenantId tenant) {
+  private void removeIfEmpty(TenantQueue queue, TenantId tenant) {
     if (queue.waiters.isEmpty()) {
       byTenant.remove(tenant);
       ring.remove(queue);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/GateSink.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/GateSink.java
@@ -11,31 +11,31 @@
 public interface GateSink {
 
   /**
-   * A request got a slot.
+   * Called when a request was granted a slot.
    *
-   * @param router the router that asked; not null
-   * @param incarnation its run
+   * @param router the requesting router; not null
+   * @param incarnation the incarnation of that router
    * @param permit the number of the permit
    */
   void granted(RouterId router, long incarnation, long permit);
 
   /**
-   * A request waits for a slot.
+   * Called when a request was queued.
    *
-   * @param router the router that asked; not null
-   * @param incarnation its run
+   * @param router the requesting router; not null
+   * @param incarnation the incarnation of that router
    * @param permit the number of the permit
    */
   void queued(RouterId router, long incarnation, long permit);
 
   /**
-   * A request gets no slot and waits no more.
+   * Called when a request was refused and is not queued any longer.
    *
-   * @param router the router that asked; not null
-   * @param incarnation its run
+   * @param router the requesting router; not null
+   * @param incarnation the incarnation of that router
    * @param permit the number of the permit
-   * @param reason why; not null
-   * @param retryAfterMs when to come back; milliseconds
+   * @param reason the reason; not null
+   * @param retryAfterMs when to retry; milliseconds
    */
   void refused(
       RouterId router, long incarnation, long permit, RefusalReason reason, long retryAfterMs);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/ParkedRequests.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/ParkedRequests.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * Requests of one router that wait for a moving shard to open. Bounded; not thread-safe.
+ * The requests of one router that wait for a moving shard to open. Bounded; not thread-safe.
  *
  * @since 0.1
  */
@@ -19,17 +19,17 @@
   private int size;
 
   /**
-   * A request that waits.
+   * A waiting request.
    *
-   * @param number its number
-   * @param deadlineMs when it is pointless to wait longer
+   * @param number the number of the request
+   * @param deadlineMs when to stop waiting
    */
   private record Parked(long number, long deadlineMs) {}
 
   /**
-   * Creates an empty one.
+   * Creates an empty collection.
    *
-   * @param maxParked how many requests may wait
+   * @param maxParked the maximum number of waiting requests
    */
   public ParkedRequests(int maxParked) {
     this.maxParked = maxParked;
@@ -38,10 +38,10 @@
   /**
    * Parks a request.
    *
-   * @param number its number; not parked already
+   * @param number the number of the request; not parked already
    * @param shard the shard
-   * @param deadlineMs when it is pointless to wait longer
-   * @return false if no more may wait: refuse it with QUEUE_FULL
+   * @param deadlineMs when to stop waiting
+   * @return false if the limit is reached; the caller then refuses the request with QUEUE_FULL
    */
   public boolean park(long number, int shard, long deadlineMs) {
     if (size >= maxParked) {
@@ -53,10 +53,10 @@
   }
 
   /**
-   * Takes the requests of a shard that opened, or whose owner changed.
+   * Removes and returns the requests of a shard that opened or whose owner changed.
    *
    * @param shard the shard
-   * @return their numbers in the order of arrival; never null
+   * @return their numbers in order of arrival; never null
    */
   public List<Long> unpark(int shard) {
     ArrayDeque<Parked> parked = byShard.remove(shard);
@@ -68,9 +68,9 @@
   }
 
   /**
-   * Forgets a request that ended otherwise.
+   * Removes a request that ended for another reason.
    *
-   * @param number its number
+   * @param number the number of the request
    * @param shard the shard
    */
   public void remove(long number, int shard) {
@@ -84,18 +84,20 @@
   }
 
   /**
-   * Takes the requests whose deadline came too near: refuse them with SHARD_UNAVAILABLE.
+   * Removes and returns the requests that have waited until their deadline. The caller refuses them
+   * with SHARD_UNAVAILABLE.
    *
    * @param nowMs the current time in milliseconds
    * @return their numbers; never null
    */
   public List<Long> expire(long nowMs) {
     List<Long> expired = new ArrayList<>();
-    for (Iterator<ArrayDeque<Parked>> all = byShard.values().iterator(); all.hasNext(); ) {
-      ArrayDeque<Parked> parked = all.next();
+    for (Iterator<ArrayDeque<Parked>> iterator = byShard.values().iterator();
+        iterator.hasNext(); ) {
+      ArrayDeque<Parked> parked = iterator.next();
       parked.removeIf(p -> nowMs >= p.deadlineMs() && expired.add(p.number()));
       if (parked.isEmpty()) {
-        all.remove();
+        iterator.remove();
       }
     }
     size -= expired.size();
@@ -103,7 +105,7 @@
   }
 
   /**
-   * Returns the shards for which requests wait.
+   * Returns the shards that have waiting requests.
    *
    * @return a copy
    */
@@ -112,9 +114,9 @@
   }
 
   /**
-   * Returns how many requests wait.
+   * Returns the number of waiting requests.
    *
-   * @return their number
+   * @return the number
    */
   public int size() {
     return size;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/PermitRecovery.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/PermitRecovery.java
@@ -7,24 +7,25 @@
 import java.util.Set;
 
 /**
- * Which routers a new gate has yet to hear of.
+ * Tracks the routers whose permit reports a new gate is still waiting for.
  *
  * @since 0.1
  */
 final class PermitRecovery {
 
-  private static final int ASKS_PER_PATIENCE = 4;
+  /** How often a permit report is requested within the timeout. */
+  private static final int REQUESTS_PER_TIMEOUT = 4;
 
   private final Set<RouterId> awaited = new LinkedHashSet<>();
   private boolean running;
   private long endsAtMs;
-  private long askedAtMs;
+  private long requestedAtMs;
 
   void start(long newEndsAtMs, long nowMs) {
     awaited.clear();
     running = true;
     endsAtMs = newEndsAtMs;
-    askedAtMs = nowMs;
+    requestedAtMs = nowMs;
   }
 
   void await(RouterId router) {
@@ -39,16 +40,16 @@
     return running && (awaited.isEmpty() || nowMs >= endsAtMs);
   }
 
-  /** Returns whom to ask once more, because the question may be lost. */
-  List<RouterId> routersToAskAgain(long nowMs, long patienceMs) {
-    if (!running || nowMs - askedAtMs < patienceMs / ASKS_PER_PATIENCE) {
+  /** Returns the routers to send another request to, since the previous one may have been lost. */
+  List<RouterId> routersToRetry(long nowMs, long timeoutMs) {
+    if (!running || nowMs - requestedAtMs < timeoutMs / REQUESTS_PER_TIMEOUT) {
       return List.of();
     }
-    askedAtMs = nowMs;
+    requestedAtMs = nowMs;
     return new ArrayList<>(awaited);
   }
 
-  /** Ends the wait and returns the routers that did not answer. */
+  /** Stops waiting and returns the routers that did not report. */
   List<RouterId> finish() {
     running = false;
     List<RouterId> silent = new ArrayList<>(awaited);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/RendezvousHash.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/RendezvousHash.java
@@ -7,15 +7,17 @@
 import java.util.List;
 
 /**
- * Orders routers for a name, so that a change of one router moves only the names it had. Immutable.
+ * Rendezvous hashing: ranks routers for a name, so that adding or removing a router reassigns only
+ * the names of that router. Immutable.
  *
- * <p>Names and routers are hashed once; the order for a name then takes a few operations per
- * router, so that a keeper can go through all its entries at a change.
+ * <p>Names and routers are hashed once. Ranking a name then takes a few operations per router, so a
+ * router can recompute the ranking of all its entries when the registered routers change.
  *
  * @since 0.1
  */
 public final class RendezvousHash {
 
+  // The constants of the 64-bit finalizer of MurmurHash3.
   private static final long FIRST_FACTOR = 0xff51afd7ed558ccdL;
   private static final long SECOND_FACTOR = 0xc4ceb9fe1a85ec53L;
   private static final int SHIFT = 33;
@@ -24,7 +26,7 @@
   private final long[] hashes;
 
   /**
-   * Creates the order over some routers.
+   * Creates a ranking of the given routers.
    *
    * @param registered the registered routers; not null
    */
@@ -38,7 +40,7 @@
    *
    * @param name the name; not null
    * @param registered the registered routers; not null
-   * @param count at most how many to return
+   * @param count the maximum number of routers to return
    * @return at most {@code count} routers; never null
    */
   public static List<RouterId> pick(String name, List<RegisteredRouter> registered, int count) {
@@ -49,7 +51,7 @@
    * Returns the routers of a name, first choice first.
    *
    * @param nameHash the hash of the name
-   * @param count at most how many to return
+   * @param count the maximum number of routers to return
    * @return at most {@code count} routers; never null
    */
   public List<RouterId> pick(long nameHash, int count) {
@@ -67,19 +69,19 @@
   }
 
   /**
-   * Tells whether a router is among the first of a name.
+   * Returns whether a router is among the first choices of a name.
    *
    * @param router the router; not null
    * @param nameHash the hash of the name
-   * @param count how many are first
-   * @return false also if the router is not registered
+   * @param count the number of first choices
+   * @return whether it is; false if the router is not registered
    */
   public boolean isPicked(RouterId router, long nameHash, int count) {
     int index = routers.indexOf(router);
     return index >= 0 && rankOf(index, nameHash) < count;
   }
 
-  /** Returns how many routers come before one. */
+  /** Returns the number of routers ranked before the given one. */
   private int rankOf(int index, long nameHash) {
     long own = score(hashes[index], nameHash);
     int rank = 0;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/RouterIncarnations.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/RouterIncarnations.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * Remembers which run of each other router was met last.
+ * Tracks the incarnation of each other router that last sent a message.
  *
  * @since 0.1
  */
@@ -14,54 +14,54 @@
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-  private final long memoryMs;
-  private final Map<RouterId, Run> runs = new HashMap<>();
+  private final long retentionMs;
+  private final Map<RouterId, LastSeen> byRouter = new HashMap<>();
 
-  /** The last run of one router and when an earlier one was last met. */
-  private static final class Run {
+  /** The last incarnation of one router, and when the previous one was last seen. */
+  private static final class LastSeen {
 
     private Incarnation current;
-    private long metAtMs = NEVER_MS;
-    private long earlierMetAtMs = NEVER_MS;
+    private long seenAtMs = NEVER_MS;
+    private long previousSeenAtMs = NEVER_MS;
     private boolean endedCleanly;
   }
 
-  RouterIncarnations(long memoryMs) {
-    this.memoryMs = memoryMs;
+  RouterIncarnations(long retentionMs) {
+    this.retentionMs = retentionMs;
   }
 
-  /** Records a message of a run and tells whether it replaces another. */
-  boolean isNewRun(RouterId router, Incarnation incarnation, long nowMs) {
-    Run run = runs.computeIfAbsent(router, r -> new Run());
-    boolean replaced = run.current != null && !run.current.equals(incarnation);
+  /** Records a message of an incarnation and returns whether it replaces another incarnation. */
+  boolean recordSeen(RouterId router, Incarnation incarnation, long nowMs) {
+    LastSeen entry = byRouter.computeIfAbsent(router, r -> new LastSeen());
+    boolean replaced = entry.current != null && !entry.current.equals(incarnation);
     if (replaced) {
-      run.earlierMetAtMs = run.endedCleanly ? NEVER_MS : run.metAtMs;
-      run.endedCleanly = false;
+      entry.previousSeenAtMs = entry.endedCleanly ? NEVER_MS : entry.seenAtMs;
+      entry.endedCleanly = false;
     }
-    run.current = incarnation;
-    run.metAtMs = nowMs;
+    entry.current = incarnation;
+    entry.seenAtMs = nowMs;
     return replaced;
   }
 
-  /** Tells whether a run other than this one was met lately and did not end cleanly. */
+  /** Returns whether a different incarnation was seen recently and did not end cleanly. */
   boolean sawEarlierRun(RouterId router, Incarnation incarnation, long nowMs) {
-    Run run = runs.get(router);
-    if (run == null) {
+    LastSeen entry = byRouter.get(router);
+    if (entry == null) {
       return false;
     }
-    boolean currentIsEarlier = run.current != null && !run.current.equals(incarnation);
-    long lastMs = currentIsEarlier && !run.endedCleanly ? run.metAtMs : run.earlierMetAtMs;
-    return nowMs - lastMs < memoryMs;
+    boolean currentDiffers = entry.current != null && !entry.current.equals(incarnation);
+    long lastMs = currentDiffers && !entry.endedCleanly ? entry.seenAtMs : entry.previousSeenAtMs;
+    return nowMs - lastMs < retentionMs;
   }
 
   void onCleanEnd(RouterId router, Incarnation incarnation) {
-    Run run = runs.computeIfAbsent(router, r -> new Run());
-    run.current = incarnation;
-    run.endedCleanly = true;
+    LastSeen entry = byRouter.computeIfAbsent(router, r -> new LastSeen());
+    entry.current = incarnation;
+    entry.endedCleanly = true;
   }
 
   boolean endedCleanly(RouterId router) {
-    Run run = runs.get(router);
-    return run != null && run.endedCleanly;
+    LastSeen entry = byRouter.get(router);
+    return entry != null && entry.endedCleanly;
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/ServiceTime.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/ServiceTime.java
@@ -1,38 +1,38 @@
 package io.cuminvalve.core.admission;
 
 /**
- * The service time of one class at one target: mean and low end, as exponentially weighted moving
- * averages.
+ * Estimates the mean and the low end of the service time of one class at one target, as
+ * exponentially weighted moving averages.
  *
- * <p>The kinds of requests of a class differ. The mean tells how fast a queue moves; only the low
- * end tells that a request will not be in time.
+ * <p>Requests of one class differ in cost. The mean predicts how fast a queue drains; only the low
+ * end shows that a request cannot meet its deadline.
  *
  * @since 0.1
  */
 final class ServiceTime {
 
-  private static final double WEIGHT = 0.1;
-  private static final double WEIGHT_BELOW = 0.5;
-  private static final double WEIGHT_ABOVE = 0.02;
-  private static final double SMALLEST_MS = 0.1;
+  private static final double MEAN_WEIGHT = 0.1;
+  private static final double LOW_WEIGHT_FALLING = 0.5;
+  private static final double LOW_WEIGHT_RISING = 0.02;
+  private static final double MIN_MEAN_MS = 0.1;
 
   private double meanMs;
   private double lowMs;
   private boolean measured;
 
   void add(long serviceMs) {
-    double lowWeight = serviceMs < lowMs ? WEIGHT_BELOW : WEIGHT_ABOVE;
+    double lowWeight = serviceMs < lowMs ? LOW_WEIGHT_FALLING : LOW_WEIGHT_RISING;
     lowMs = measured ? lowMs + lowWeight * (serviceMs - lowMs) : serviceMs;
-    meanMs = measured ? meanMs + WEIGHT * (serviceMs - meanMs) : serviceMs;
+    meanMs = measured ? meanMs + MEAN_WEIGHT * (serviceMs - meanMs) : serviceMs;
     measured = true;
   }
 
-  /** Returns the mean in milliseconds, above 0 also before the first measurement. */
+  /** Returns the mean in milliseconds; above 0 even before the first measurement. */
   double meanMs() {
-    return Math.max(SMALLEST_MS, meanMs);
+    return Math.max(MIN_MEAN_MS, meanMs);
   }
 
-  /** Returns what the fastest requests take, in milliseconds. */
+  /** Returns the service time of the fastest requests in milliseconds. */
   double lowMs() {
     return lowMs;
   }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetAdmission.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetAdmission.java
@@ -19,26 +19,27 @@
 import java.util.Map;
 
 /**
- * One target at one router: its gate, if this router runs it, or the requests that this router has
- * at the gate of another.
+ * Admission to one target at one router: the gate of the target if this router is the gate, else
+ * the requests of this router at the gate of another router.
  *
  * @since 0.1
  */
 final class TargetAdmission implements GateSink {
 
-  private static final int ASKS_PER_PATIENCE = 3;
+  /** How often a permit is requested within the gate timeout. */
+  private static final int REQUESTS_PER_TIMEOUT = 3;
 
   private final AdmissionCoordinator owner;
   private final TargetId target;
   private final Map<Long, RemotePermit> remote = new LinkedHashMap<>();
   private int slots;
   private RouterId gateRouter;
-  private RouterId formerGate;
+  private RouterId previousGate;
   private TargetGate gate;
-  private boolean learning;
-  private boolean earlierRunReserved;
+  private boolean recovering;
+  private boolean previousIncarnationReserved;
 
-  /** A request of this router at the gate of another. */
+  /** A request of this router at the gate of another router. */
   private static final class RemotePermit {
 
     private final long number;
@@ -46,8 +47,8 @@
     private final RequestClass requestClass;
     private final long deadlineMs;
     private boolean held;
-    private long heardAtMs;
-    private long askedAtMs;
+    private long repliedAtMs;
+    private long requestedAtMs;
 
     RemotePermit(
         long number, TenantId tenant, RequestClass requestClass, long deadlineMs, long nowMs) {
@@ -55,7 +56,7 @@
       this.tenant = tenant;
       this.requestClass = requestClass;
       this.deadlineMs = deadlineMs;
-      this.heardAtMs = nowMs;
+      this.repliedAtMs = nowMs;
     }
   }
 
@@ -73,15 +74,15 @@
     return gate != null;
   }
 
-  boolean isLearning() {
-    return gate != null && learning;
+  boolean isRecovering() {
+    return gate != null && recovering;
   }
 
   int inUseAtOwnGate() {
     return gate == null ? 0 : gate.inUse();
   }
 
-  boolean holdsAny() {
+  boolean hasOutstandingPermits() {
     return gate != null ? gate.localInUse() > 0 : !remote.isEmpty();
   }
 
@@ -92,52 +93,53 @@
     }
   }
 
-  /** Takes the router that is the gate from now on. */
+  /** Sets the router that is the gate from now on; null if there is none. */
   void setGate(RouterId newGate, long nowMs) {
     boolean wasSelf = owner.self().equals(gateRouter);
     boolean isSelf = owner.self().equals(newGate);
     boolean changed = newGate != null && !newGate.equals(gateRouter);
-    formerGate = changed ? gateRouter : formerGate;
+    previousGate = changed ? gateRouter : previousGate;
     gateRouter = newGate;
     if (isSelf && !wasSelf) {
       becomeGate(nowMs);
     } else if (!isSelf && wasSelf) {
-      handOver(nowMs);
+      resignGate(nowMs);
     } else if (changed) {
-      remote.values().stream().filter(p -> !p.held).forEach(p -> ask(p, nowMs));
+      remote.values().stream().filter(p -> !p.held).forEach(p -> sendRequest(p, nowMs));
     } else if (isSelf) {
       gate.resize(slots, owner.localLimit(slots), nowMs);
     }
   }
 
   void open(long nowMs) {
-    learning = false;
+    recovering = false;
     gate.open(nowMs);
   }
 
-  void reserve(RouterId holder, int routers, long endsAtMs) {
-    int count = holder.equals(formerGate) ? owner.localLimit(slots) : Math.max(1, slots / routers);
-    gate.reserve(holder, count, endsAtMs);
+  void reserve(RouterId holder, int routers, long expiresAtMs) {
+    int count =
+        holder.equals(previousGate) ? owner.localLimit(slots) : Math.max(1, slots / routers);
+    gate.reserve(holder, count, expiresAtMs);
   }
 
-  /** Keeps what an earlier run of this router may have given to itself. */
-  void reserveForEarlierRun(long endsAtMs) {
-    if (!earlierRunReserved) {
-      earlierRunReserved = true;
-      gate.reserve(owner.self(), owner.localLimit(slots), endsAtMs);
+  /** Reserves the slots that an earlier incarnation of this router may have granted to itself. */
+  void reserveForPreviousIncarnation(long expiresAtMs) {
+    if (!previousIncarnationReserved) {
+      previousIncarnationReserved = true;
+      gate.reserve(owner.self(), owner.localLimit(slots), expiresAtMs);
     }
   }
 
   void onReported(RouterId router, long nowMs) {
     if (gate != null) {
-      gate.clearReserve(router);
+      gate.clearReservations(router);
       gate.tick(nowMs);
     }
   }
 
   void adopt(RouterId router, Incarnation incarnation, PermitInUse permit, long nowMs) {
     if (gate != null) {
-      gate.adopt(router, incarnation.value(), permit.permit(), endOf(permit, nowMs));
+      gate.adopt(router, incarnation.value(), permit.permit(), expiryOf(permit, nowMs));
     }
   }
 
@@ -149,8 +151,8 @@
 
   void admit(long permit, TenantId tenant, RequestClass requestClass, long deadlineMs, long nowMs) {
     if (gate != null) {
-      long run = owner.incarnation().value();
-      gate.request(owner.self(), run, permit, tenant, requestClass, deadlineMs, nowMs);
+      long incarnation = owner.incarnation().value();
+      gate.request(owner.self(), incarnation, permit, tenant, requestClass, deadlineMs, nowMs);
       return;
     }
     if (gateRouter == null) {
@@ -159,13 +161,13 @@
     }
     RemotePermit asked = new RemotePermit(permit, tenant, requestClass, deadlineMs, nowMs);
     remote.put(permit, asked);
-    ask(asked, nowMs);
+    sendRequest(asked, nowMs);
   }
 
   void release(long permit, SlotUse use, long serviceMs, long nowMs) {
     if (gate != null) {
-      long run = owner.incarnation().value();
-      gate.release(owner.self(), run, permit, use, serviceMs, nowMs);
+      long incarnation = owner.incarnation().value();
+      gate.release(owner.self(), incarnation, permit, use, serviceMs, nowMs);
     } else if (remote.remove(permit) != null) {
       owner
           .sink()
@@ -213,7 +215,7 @@
     }
   }
 
-  /** Takes a grant; returns false if the slot has to be given back to the sender. */
+  /** Handles a grant. Returns false if the slot must be returned to the sender. */
   boolean onGranted(long permit, RouterId from) {
     RemotePermit asked = from.equals(gateRouter) ? remote.get(permit) : null;
     if (asked == null) {
@@ -229,7 +231,7 @@
   void onQueued(long permit, RouterId from, long nowMs) {
     RemotePermit asked = remote.get(permit);
     if (asked != null && from.equals(gateRouter)) {
-      asked.heardAtMs = nowMs;
+      asked.repliedAtMs = nowMs;
     }
   }
 
@@ -239,7 +241,7 @@
       return;
     }
     if (refused.reason() == RefusalReason.GATE_UNAVAILABLE) {
-      return; // It has another table than this router: asked again until patience ends.
+      return; // The sender has a different table: tick() repeats the request until the timeout.
     }
     remote.remove(refused.permit());
     owner.sink().refused(refused.permit(), refused.reason(), refused.retryAfterMs());
@@ -250,27 +252,27 @@
       gate.tick(nowMs);
       return;
     }
-    long patienceMs = owner.settings().gateTimeoutMs();
+    long timeoutMs = owner.settings().gateTimeoutMs();
     for (RemotePermit permit : new ArrayList<>(remote.values())) {
       if (permit.held) {
         continue;
       }
-      if (nowMs - permit.heardAtMs >= patienceMs) {
+      if (nowMs - permit.repliedAtMs >= timeoutMs) {
         remote.remove(permit.number);
         sendWithdrawn(permit.number);
-        owner.sink().refused(permit.number, RefusalReason.GATE_UNAVAILABLE, patienceMs);
-      } else if (nowMs - permit.askedAtMs >= patienceMs / ASKS_PER_PATIENCE) {
-        ask(permit, nowMs);
+        owner.sink().refused(permit.number, RefusalReason.GATE_UNAVAILABLE, timeoutMs);
+      } else if (nowMs - permit.requestedAtMs >= timeoutMs / REQUESTS_PER_TIMEOUT) {
+        sendRequest(permit, nowMs);
       }
     }
   }
 
-  /** Adds the permits that this router holds. */
-  void listHeld(List<PermitInUse> held, long nowMs) {
+  /** Adds the permits that this router holds to a list. */
+  void addHeldPermits(List<PermitInUse> held, long nowMs) {
     if (gate != null) {
       gate.forEachPermitOf(
           owner.self(),
-          (number, endsAtMs) -> held.add(new PermitInUse(number, target, endsAtMs - nowMs)));
+          (number, expiresAtMs) -> held.add(new PermitInUse(number, target, expiresAtMs - nowMs)));
     }
     for (RemotePermit permit : remote.values()) {
       if (permit.held) {
@@ -322,18 +324,18 @@
 
   private void becomeGate(long nowMs) {
     gate = new TargetGate(owner.settings(), owner.self(), slots, owner.localLimit(slots), this);
-    learning = true;
-    earlierRunReserved = false;
-    List<RemotePermit> mine = new ArrayList<>(remote.values());
+    recovering = true;
+    previousIncarnationReserved = false;
+    List<RemotePermit> own = new ArrayList<>(remote.values());
     remote.clear();
-    long run = owner.incarnation().value();
-    for (RemotePermit permit : mine) {
+    long incarnation = owner.incarnation().value();
+    for (RemotePermit permit : own) {
       if (permit.held) {
-        gate.adopt(owner.self(), run, permit.number, endOf(permit.deadlineMs));
+        gate.adopt(owner.self(), incarnation, permit.number, expiryOf(permit.deadlineMs));
       } else {
         gate.request(
             owner.self(),
-            run,
+            incarnation,
             permit.number,
             permit.tenant,
             permit.requestClass,
@@ -343,33 +345,33 @@
     }
   }
 
-  private void handOver(long nowMs) {
-    TargetGate former = gate;
+  private void resignGate(long nowMs) {
+    TargetGate previous = gate;
     gate = null;
-    former.forEachPermitOf(
+    previous.forEachPermitOf(
         owner.self(),
-        (number, endsAtMs) -> {
-          long deadlineMs = endsAtMs - owner.settings().closeGraceMs();
+        (number, expiresAtMs) -> {
+          long deadlineMs = expiresAtMs - owner.settings().closeGraceMs();
           RemotePermit held =
               new RemotePermit(number, null, RequestClass.INTERACTIVE, deadlineMs, nowMs);
           held.held = true;
           remote.put(number, held);
         });
-    for (Waiter waiter : former.takeWaitersOf(owner.self())) {
+    for (Waiter waiter : previous.takeWaitersOf(owner.self())) {
       admit(waiter.permit(), waiter.tenant(), waiter.requestClass(), waiter.deadlineMs(), nowMs);
     }
   }
 
-  private long endOf(PermitInUse permit, long nowMs) {
-    return endOf(nowMs + permit.remainingMs());
+  private long expiryOf(PermitInUse permit, long nowMs) {
+    return expiryOf(nowMs + permit.remainingMs());
   }
 
-  private long endOf(long deadlineMs) {
+  private long expiryOf(long deadlineMs) {
     return deadlineMs + owner.settings().closeGraceMs();
   }
 
-  private void ask(RemotePermit permit, long nowMs) {
-    permit.askedAtMs = nowMs;
+  private void sendRequest(RemotePermit permit, long nowMs) {
+    permit.requestedAtMs = nowMs;
     owner
         .sink()
         .send(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetGate.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetGate.java
@@ -9,22 +9,22 @@
 import java.util.List;
 
 /**
- * Holds the slots of one target for all routers, with one queue per class.
+ * Grants the slots of one target to all routers, with one queue per request class.
  *
- * <p>Never more permits are in use than the target has slots. Permits that the gate cannot know of
- * count as reserved until they have certainly ended. The order of service: interactive before
- * deferrable, apart from the share that deferrable work has; within a class, deficit round robin
- * over tenants. A request that cannot end before its deadline by the measured service time is
- * refused at once.
+ * <p>The number of permits in use never exceeds the number of slots. For permits that the gate may
+ * not know of, slots stay reserved until those permits must have expired. Interactive requests are
+ * served before deferrable ones, except for the share of slot time reserved for deferrable
+ * requests; within a class, tenants are served by deficit round robin. A request that cannot end
+ * before its deadline, given the measured service time, is refused immediately.
  *
- * <p>Not thread-safe: the caller serialises the calls of one gate. A request that gets its slot at
- * once allocates nothing.
+ * <p>Not thread-safe: the caller serialises the calls to one gate. Granting a slot immediately
+ * allocates no memory.
  *
  * @since 0.1
  */
 public final class TargetGate {
 
-  private static final long SHORTEST_RETRY_AFTER_MS = 20;
+  private static final long MIN_RETRY_AFTER_MS = 20;
 
   private final AdmissionSettings settings;
   private final RouterId self;
@@ -34,8 +34,8 @@
   private final ServiceTime interactiveTime = new ServiceTime();
   private final ServiceTime deferrableTime = new ServiceTime();
   private final List<Permit> inUse = new ArrayList<>();
-  private final List<Permit> unused = new ArrayList<>();
-  private final List<Reserve> reserves = new ArrayList<>();
+  private final List<Permit> permitPool = new ArrayList<>();
+  private final List<Reservation> reservations = new ArrayList<>();
   private int slots;
   private int localLimit;
   private int localInUse;
@@ -43,7 +43,7 @@
   private double deferrableCreditMs;
   private boolean open;
 
-  /** A slot in use. Mutable and reused, so that granting allocates nothing. */
+  /** A slot in use. Instances are pooled, so that granting allocates no memory. */
   private static final class Permit {
 
     private RouterId router;
@@ -51,26 +51,26 @@
     private long number;
     private TenantId tenant;
     private RequestClass requestClass;
-    private long endsAtMs;
+    private long expiresAtMs;
   }
 
   /**
-   * Slots that permits unknown to this gate may use.
+   * Slots reserved for permits that this gate may not know of.
    *
-   * @param holder the router that may hold them
-   * @param count how many
-   * @param endsAtMs when they have certainly ended
+   * @param holder the router that may hold the permits
+   * @param count the number of slots
+   * @param expiresAtMs when the permits must have expired
    */
-  private record Reserve(RouterId holder, int count, long endsAtMs) {}
+  private record Reservation(RouterId holder, int count, long expiresAtMs) {}
 
   /**
    * Creates a gate that grants nothing until {@link #open}.
    *
-   * @param settings limits and times; not null
-   * @param self the router that runs it; not null
-   * @param slots the slots of the target, at least 1
-   * @param localLimit how many of them the router that runs the gate may use itself: after its loss
-   *     nobody else knows of those; at least 1
+   * @param settings limits and timeouts; not null
+   * @param self the router that runs this gate; not null
+   * @param slots the number of slots of the target; at least 1
+   * @param localLimit the maximum number of slots for the gate's own router; limited because no
+   *     other router knows of those permits if this router is lost; at least 1
    * @param sink receives the decisions; not null
    */
   public TargetGate(
@@ -83,98 +83,99 @@
   }
 
   /**
-   * Returns how many permits are in use.
+   * Returns the number of permits in use.
    *
-   * @return without reserved slots
+   * @return the number, without reserved slots
    */
   public int inUse() {
     return inUse.size();
   }
 
   /**
-   * Returns how many requests wait.
+   * Returns the number of queued requests.
    *
    * @param requestClass the class; not null
-   * @return their number
+   * @return the number
    */
   public int queued(RequestClass requestClass) {
     return queueOf(requestClass).size();
   }
 
   /**
-   * Returns how many permits the router that runs the gate uses.
+   * Returns the number of permits in use by the gate's own router.
    *
-   * @return their number
+   * @return the number
    */
   public int localInUse() {
     return localInUse;
   }
 
   /**
-   * Starts granting: all permits in use are known or reserved.
+   * Starts granting. Call it once all permits in use are known or covered by reservations.
    *
    * @param nowMs the current time in milliseconds
    */
   public void open(long nowMs) {
     open = true;
-    serve(nowMs);
+    grantQueued(nowMs);
   }
 
   /**
-   * Changes the size of the target.
+   * Changes the number of slots.
    *
-   * @param newSlots slots, at least 1
-   * @param newLocalLimit how many of them the router that runs the gate may use, at least 1
+   * @param newSlots the number of slots of the target; at least 1
+   * @param newLocalLimit the maximum number of slots for the gate's own router; at least 1
    * @param nowMs the current time in milliseconds
    */
   public void resize(int newSlots, int newLocalLimit, long nowMs) {
     slots = newSlots;
     localLimit = newLocalLimit;
-    serve(nowMs);
+    grantQueued(nowMs);
   }
 
   /**
-   * Keeps slots free for permits that this gate cannot know of. One slot of several stays usable.
+   * Reserves slots for permits that this gate may not know of. If the target has several slots, one
+   * of them always stays unreserved.
    *
-   * @param holder the router that may hold them; not null
-   * @param count how many
-   * @param endsAtMs until when
+   * @param holder the router that may hold the permits; not null
+   * @param count the number of slots
+   * @param expiresAtMs the end of the reservation
    */
-  public void reserve(RouterId holder, int count, long endsAtMs) {
-    reserves.add(new Reserve(holder, count, endsAtMs));
+  public void reserve(RouterId holder, int count, long expiresAtMs) {
+    reservations.add(new Reservation(holder, count, expiresAtMs));
   }
 
   /**
-   * Gives up what was kept free for a router, because it has told its permits.
+   * Removes the reservations for a router that has reported its permits.
    *
    * @param holder the router; not null
    */
-  public void clearReserve(RouterId holder) {
-    reserves.removeIf(reserve -> reserve.holder().equals(holder));
+  public void clearReservations(RouterId holder) {
+    reservations.removeIf(reservation -> reservation.holder().equals(holder));
   }
 
   /**
    * Records a permit that an earlier gate granted.
    *
    * @param router the router that holds it; not null
-   * @param incarnation its run
+   * @param incarnation the incarnation of that router
    * @param number the number of the permit
-   * @param endsAtMs when it has certainly ended
+   * @param expiresAtMs when the permit expires
    */
-  public void adopt(RouterId router, long incarnation, long number, long endsAtMs) {
+  public void adopt(RouterId router, long incarnation, long number, long expiresAtMs) {
     if (find(router, incarnation, number) == null) {
-      use(router, incarnation, number, null, RequestClass.INTERACTIVE, endsAtMs);
+      markInUse(router, incarnation, number, null, RequestClass.INTERACTIVE, expiresAtMs);
     }
   }
 
   /**
-   * Asks for a slot. Asking again for the same permit repeats the decision.
+   * Requests a slot. Repeating the request for the same permit repeats the decision.
    *
-   * @param router the router that asks; not null
-   * @param incarnation its run
-   * @param number the number of the permit, unique within the run
-   * @param tenant on whose behalf; not null
-   * @param requestClass how urgent; not null
+   * @param router the requesting router; not null
+   * @param incarnation the incarnation of that router
+   * @param number the number of the permit, unique within the incarnation
+   * @param tenant the tenant of the request; not null
+   * @param requestClass the class of the request; not null
    * @param deadlineMs the deadline on the gate's clock
    * @param nowMs the current time in milliseconds
    */
@@ -192,8 +193,8 @@
     }
     FairQueue queue = queueOf(requestClass);
     long boundedDeadlineMs = Math.min(deadlineMs, nowMs + settings.maxPermitMs());
-    if (queue.size() == 0 && mayUse(router, requestClass)) {
-      if (isHopeless(requestClass, 0, boundedDeadlineMs, nowMs)) {
+    if (queue.size() == 0 && canGrantNow(router, requestClass)) {
+      if (cannotMeetDeadline(requestClass, 0, boundedDeadlineMs, nowMs)) {
         refuse(router, incarnation, number, RefusalReason.DEADLINE_UNREACHABLE, 0);
         return;
       }
@@ -209,13 +210,13 @@
   }
 
   /**
-   * Returns a slot: nothing of its request is in flight.
+   * Returns a slot. No part of its request may still be in flight.
    *
-   * @param router the router that held it; not null
-   * @param incarnation its run
+   * @param router the router that held the permit; not null
+   * @param incarnation the incarnation of that router
    * @param number the number of the permit
-   * @param slotUse how it was used; not null
-   * @param serviceMs milliseconds from the first byte to the end
+   * @param slotUse how the slot was used; not null
+   * @param serviceMs the service time in milliseconds, from the first byte to the end
    * @param nowMs the current time in milliseconds
    */
   public void release(
@@ -226,83 +227,83 @@
       return;
     }
     if (slotUse == SlotUse.ANSWERED || slotUse == SlotUse.ABANDONED) {
-      ServiceTime time = timeOf(permit.requestClass);
+      ServiceTime time = serviceTimeOf(permit.requestClass);
       double expectedMs = time.meanMs();
       time.add(serviceMs);
       if (permit.tenant != null) {
         queueOf(permit.requestClass).charge(permit.tenant, serviceMs - expectedMs, time.meanMs());
       }
     }
-    free(permit);
-    serve(nowMs);
+    releaseSlot(permit);
+    grantQueued(nowMs);
   }
 
   /**
-   * Forgets a request that waits, or returns the slot that its router does not want any more.
+   * Removes a queued request, or returns its slot if it was already granted.
    *
-   * @param router the router that asked; not null
-   * @param incarnation its run
+   * @param router the requesting router; not null
+   * @param incarnation the incarnation of that router
    * @param number the number of the permit
    * @param nowMs the current time in milliseconds
    */
   public void withdraw(RouterId router, long incarnation, long number, long nowMs) {
     Permit permit = find(router, incarnation, number);
     if (permit != null) {
-      free(permit);
+      releaseSlot(permit);
     }
     interactive.removeIf(w -> w.isPermit(router, incarnation, number), w -> {});
     deferrable.removeIf(w -> w.isPermit(router, incarnation, number), w -> {});
-    serve(nowMs);
+    grantQueued(nowMs);
   }
 
   /**
-   * Forgets the waiting requests of a run of a router that ended. Its permits stay in use until
-   * their deadlines: the target may still work on them.
+   * Removes the queued requests of ended incarnations of a router. Its permits stay in use until
+   * they expire, because the target may still be working on those requests.
    *
    * @param router the router; not null
-   * @param currentIncarnation its current run; 0 if it has none
+   * @param currentIncarnation the current incarnation of the router; 0 if it has none
    */
   public void onRouterLost(RouterId router, long currentIncarnation) {
-    interactive.removeIf(w -> isOfEarlierRun(w, router, currentIncarnation), w -> {});
-    deferrable.removeIf(w -> isOfEarlierRun(w, router, currentIncarnation), w -> {});
+    interactive.removeIf(w -> isOfPreviousIncarnation(w, router, currentIncarnation), w -> {});
+    deferrable.removeIf(w -> isOfPreviousIncarnation(w, router, currentIncarnation), w -> {});
   }
 
   /**
-   * Ends permits past their time and refuses requests that cannot be served in time any more.
+   * Releases expired permits and refuses queued requests that cannot meet their deadlines.
    *
    * @param nowMs the current time in milliseconds
    */
   public void tick(long nowMs) {
-    reserves.removeIf(reserve -> nowMs >= reserve.endsAtMs());
+    reservations.removeIf(reservation -> nowMs >= reservation.expiresAtMs());
     for (int i = inUse.size() - 1; i >= 0; i--) {
-      if (nowMs >= inUse.get(i).endsAtMs) {
-        free(inUse.get(i));
+      if (nowMs >= inUse.get(i).expiresAtMs) {
+        releaseSlot(inUse.get(i));
       }
     }
     shed(interactive, nowMs);
     shed(deferrable, nowMs);
-    serve(nowMs);
+    grantQueued(nowMs);
   }
 
   /**
    * Lists the permits of one router.
    *
    * @param router the router; not null
-   * @param visitor receives number and end of each permit; not null
+   * @param visitor receives number and expiry time of each permit; not null
    */
   void forEachPermitOf(RouterId router, PermitVisitor visitor) {
     for (Permit permit : inUse) {
       if (permit.router.equals(router)) {
-        visitor.visit(permit.number, permit.endsAtMs);
+        visitor.visit(permit.number, permit.expiresAtMs);
       }
     }
   }
 
   /**
-   * Takes the waiting requests of one router out of the queues.
+   * Removes and returns the queued requests of one router.
    *
    * @param router the router; not null
-   * @return in no particular order
+   * @return the requests in no particular order
    */
   List<Waiter> takeWaitersOf(RouterId router) {
     List<Waiter> taken = new ArrayList<>();
@@ -316,12 +317,13 @@
   interface PermitVisitor {
 
     /** Visits one permit. */
-    void visit(long number, long endsAtMs);
+    void visit(long number, long expiresAtMs);
   }
 
   private void enqueue(Waiter waiter, long nowMs) {
     FairQueue queue = queueOf(waiter.requestClass());
-    if (isHopeless(waiter.requestClass(), placeOf(waiter), waiter.deadlineMs(), nowMs)) {
+    if (cannotMeetDeadline(
+        waiter.requestClass(), expectedPosition(waiter), waiter.deadlineMs(), nowMs)) {
       refuse(waiter, RefusalReason.DEADLINE_UNREACHABLE);
       return;
     }
@@ -334,11 +336,11 @@
     }
     queue.add(waiter);
     sink.queued(waiter.router(), waiter.incarnation(), waiter.permit());
-    serve(nowMs);
+    grantQueued(nowMs);
   }
 
-  /** Returns how many requests of its class are served before a new one of its tenant, and it. */
-  private int placeOf(Waiter waiter) {
+  /** Returns the expected position of a new request in the order of service, counted from 1. */
+  private int expectedPosition(Waiter waiter) {
     FairQueue queue = queueOf(waiter.requestClass());
     int own = queue.sizeOf(waiter.tenant());
     int tenants = queue.activeTenants() + (own == 0 ? 1 : 0);
@@ -346,39 +348,42 @@
   }
 
   /**
-   * Tells whether a request cannot end in time. The mean may be out of date: with no request in
-   * flight nothing would correct it, so then nothing is hopeless before its deadline.
+   * Returns whether a request cannot end before its deadline. The estimate may be out of date, and
+   * without requests in flight nothing would correct it. An idle target therefore accepts any
+   * request whose deadline has not passed.
    */
-  private boolean isHopeless(RequestClass requestClass, int place, long deadlineMs, long nowMs) {
+  private boolean cannotMeetDeadline(
+      RequestClass requestClass, int position, long deadlineMs, long nowMs) {
     if (nowMs >= deadlineMs) {
       return true;
     }
     if (inUse.isEmpty()) {
       return false;
     }
-    ServiceTime time = timeOf(requestClass);
-    double waitMs = place * time.meanMs() / slots;
+    ServiceTime time = serviceTimeOf(requestClass);
+    double waitMs = position * time.meanMs() / slots;
     return nowMs + waitMs + time.lowMs() > deadlineMs;
   }
 
-  /** Collects before it reports, so that the receiver may call this gate again. */
+  /** Removes all late requests before reporting any, since the sink may call this gate again. */
   private void shed(FairQueue queue, long nowMs) {
     if (queue.size() == 0) {
       return;
     }
-    List<Waiter> hopeless = new ArrayList<>();
+    List<Waiter> late = new ArrayList<>();
     queue.removeIf(
-        waiter -> isHopeless(waiter.requestClass(), 0, waiter.deadlineMs(), nowMs), hopeless::add);
-    hopeless.forEach(waiter -> refuse(waiter, RefusalReason.DEADLINE_UNREACHABLE));
+        waiter -> cannotMeetDeadline(waiter.requestClass(), 0, waiter.deadlineMs(), nowMs),
+        late::add);
+    late.forEach(waiter -> refuse(waiter, RefusalReason.DEADLINE_UNREACHABLE));
   }
 
-  private void serve(long nowMs) {
+  private void grantQueued(long nowMs) {
     while (open && freeSlots() > 0) {
       Waiter next = pollNext();
       if (next == null) {
         return;
       }
-      if (isHopeless(next.requestClass(), 0, next.deadlineMs(), nowMs)) {
+      if (cannotMeetDeadline(next.requestClass(), 0, next.deadlineMs(), nowMs)) {
         refuse(next, RefusalReason.DEADLINE_UNREACHABLE);
         continue;
       }
@@ -394,11 +399,11 @@
 
   private Waiter pollNext() {
     boolean deferrableReady = deferrable.size() > 0 && deferrableInUse < deferrableLimit();
-    double dueMs = (1 - settings.deferrableShare()) * deferrableTime.meanMs();
-    if (deferrableReady && (interactive.size() == 0 || deferrableCreditMs >= dueMs)) {
-      Waiter next = pollAllowed(deferrable, deferrableTime.meanMs());
+    double creditNeededMs = (1 - settings.deferrableShare()) * deferrableTime.meanMs();
+    if (deferrableReady && (interactive.size() == 0 || deferrableCreditMs >= creditNeededMs)) {
+      Waiter next = pollEligible(deferrable, deferrableTime.meanMs());
       if (next != null) {
-        deferrableCreditMs = Math.max(0, deferrableCreditMs - dueMs);
+        deferrableCreditMs = Math.max(0, deferrableCreditMs - creditNeededMs);
         return next;
       }
     }
@@ -408,14 +413,14 @@
     if (deferrable.size() > 0) {
       deferrableCreditMs += settings.deferrableShare() * interactiveTime.meanMs();
     }
-    return pollAllowed(interactive, interactiveTime.meanMs());
+    return pollEligible(interactive, interactiveTime.meanMs());
   }
 
-  private Waiter pollAllowed(FairQueue queue, double costMs) {
+  private Waiter pollEligible(FairQueue queue, double costMs) {
     return queue.poll(costMs, localInUse >= localLimit ? self : null);
   }
 
-  private boolean mayUse(RouterId router, RequestClass requestClass) {
+  private boolean canGrantNow(RouterId router, RequestClass requestClass) {
     return open
         && freeSlots() > 0
         && !isLocalLimitReached(router)
@@ -427,15 +432,15 @@
     return localInUse >= localLimit && router.equals(self);
   }
 
-  /** One slot is kept for interactive work, if there are two. */
+  /** Keeps one slot for interactive requests if there are at least two slots. */
   private int deferrableLimit() {
     return Math.max(1, slots - 1);
   }
 
   private int freeSlots() {
     int reserved = 0;
-    for (int i = 0; i < reserves.size(); i++) {
-      reserved += reserves.get(i).count();
+    for (int i = 0; i < reservations.size(); i++) {
+      reserved += reservations.get(i).count();
     }
     return slots - inUse.size() - Math.min(reserved, Math.max(1, slots - 1));
   }
@@ -447,35 +452,35 @@
       TenantId tenant,
       RequestClass requestClass,
       long deadlineMs) {
-    long endsAtMs = deadlineMs + settings.closeGraceMs();
-    use(router, incarnation, number, tenant, requestClass, endsAtMs);
+    long expiresAtMs = deadlineMs + settings.closeGraceMs();
+    markInUse(router, incarnation, number, tenant, requestClass, expiresAtMs);
     sink.granted(router, incarnation, number);
   }
 
-  private void use(
+  private void markInUse(
       RouterId router,
       long incarnation,
       long number,
       TenantId tenant,
       RequestClass requestClass,
-      long endsAtMs) {
-    Permit permit = unused.isEmpty() ? new Permit() : unused.remove(unused.size() - 1);
+      long expiresAtMs) {
+    Permit permit = permitPool.isEmpty() ? new Permit() : permitPool.remove(permitPool.size() - 1);
     permit.router = router;
     permit.incarnation = incarnation;
     permit.number = number;
     permit.tenant = tenant;
     permit.requestClass = requestClass;
-    permit.endsAtMs = endsAtMs;
+    permit.expiresAtMs = expiresAtMs;
     inUse.add(permit);
     localInUse += router.equals(self) ? 1 : 0;
     deferrableInUse += requestClass == RequestClass.DEFERRABLE ? 1 : 0;
   }
 
-  private void free(Permit permit) {
+  private void releaseSlot(Permit permit) {
     inUse.remove(permit);
     localInUse -= permit.router.equals(self) ? 1 : 0;
     deferrableInUse -= permit.requestClass == RequestClass.DEFERRABLE ? 1 : 0;
-    unused.add(permit);
+    permitPool.add(permit);
   }
 
   private Permit find(RouterId router, long incarnation, long number) {
@@ -492,13 +497,15 @@
 
   private void refuse(Waiter waiter, RefusalReason reason) {
     double drainMs =
-        queueOf(waiter.requestClass()).size() * timeOf(waiter.requestClass()).meanMs() / slots;
+        queueOf(waiter.requestClass()).size()
+            * serviceTimeOf(waiter.requestClass()).meanMs()
+            / slots;
     refuse(waiter.router(), waiter.incarnation(), waiter.permit(), reason, Math.round(drainMs));
   }
 
   private void refuse(
       RouterId router, long incarnation, long number, RefusalReason reason, long drainMs) {
-    long retryAfterMs = Math.max(SHORTEST_RETRY_AFTER_MS, drainMs);
+    long retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, drainMs);
     sink.refused(router, incarnation, number, reason, retryAfterMs);
   }
 
@@ -506,11 +513,11 @@
     return requestClass == RequestClass.INTERACTIVE ? interactive : deferrable;
   }
 
-  private ServiceTime timeOf(RequestClass requestClass) {
+  private ServiceTime serviceTimeOf(RequestClass requestClass) {
     return requestClass == RequestClass.INTERACTIVE ? interactiveTime : deferrableTime;
   }
 
-  private static boolean isOfEarlierRun(Waiter waiter, RouterId router, long current) {
+  private static boolean isOfPreviousIncarnation(Waiter waiter, RouterId router, long current) {
     return waiter.router().equals(router) && waiter.incarnation() != current;
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/Waiter.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/Waiter.java
@@ -5,14 +5,14 @@
 import io.cuminvalve.core.rule.RequestClass;
 
 /**
- * A request that asked for a slot.
+ * A queued request for a slot.
  *
- * @param router the router that asked
- * @param incarnation its run
- * @param permit its number
- * @param tenant on whose behalf
- * @param requestClass how urgent
- * @param deadlineMs its deadline on the gate's clock
+ * @param router the requesting router
+ * @param incarnation the incarnation of that router
+ * @param permit the number of the permit
+ * @param tenant the tenant of the request
+ * @param requestClass the class of the request
+ * @param deadlineMs the deadline of the request on the gate's clock
  */
 record Waiter(
     RouterId router,
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who may use a slot of a target, and in which order: one queue per target, kept by one router, so
- * that all routers together hold the limit.
+ * Admission control: decides which requests may use the slots of a target, and in which order. One
+ * router per target, its gate, keeps the queue, so that the limit holds over all routers.
  */
 package io.cuminvalve.core.admission;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionCoordinatorTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionCoordinatorTest.java
@@ -30,18 +30,18 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link AdmissionCoordinator} on single paths. */
+/** Tests {@link AdmissionCoordinator} with scripted sequences of events. */
 class AdmissionCoordinatorTest {
 
   private static final CellId CELL = new CellId("claims");
   private static final TargetId TARGET = new TargetId("t0");
   private static final TenantId TENANT = new TenantId("tenant");
-  private static final Incarnation RUN = new Incarnation(7);
+  private static final Incarnation INCARNATION = new Incarnation(7);
   private static final List<RegisteredRouter> ROUTERS =
       Stream.of("r0", "r1", "r2").map(AdmissionCoordinatorTest::router).toList();
-  private static final List<RouterId> BY_CHOICE = RendezvousHash.pick(TARGET.value(), ROUTERS, 3);
-  private static final RouterId GATE = BY_CHOICE.get(0);
-  private static final RouterId NEXT_GATE = BY_CHOICE.get(1);
+  private static final List<RouterId> GATE_ORDER = RendezvousHash.pick(TARGET.value(), ROUTERS, 3);
+  private static final RouterId GATE = GATE_ORDER.get(0);
+  private static final RouterId NEXT_GATE = GATE_ORDER.get(1);
   private static final TableVersion FIRST = new TableVersion(1, 1, 0);
   private static final TableVersion SECOND = new TableVersion(1, 2, 0);
 
@@ -50,122 +50,127 @@
   private final List<PeerMessage> sent = new ArrayList<>();
 
   @Test
-  void silentGateMeansRefusalWithinItsPatience() {
-    AdmissionCoordinator desk = desk(NEXT_GATE, 1);
-    desk.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 0);
-    desk.tick(299);
+  void requestIsRefusedAfterGateTimeoutIfGateIsSilent() {
+    AdmissionCoordinator coordinator = coordinator(NEXT_GATE, 1);
+    coordinator.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 0);
+    coordinator.tick(299);
     assertThat(refused).isEmpty();
     assertThat(sent(PermitRequest.class)).hasSize(2);
-    desk.tick(300);
+    coordinator.tick(300);
     assertThat(refused).containsExactly(1L, RefusalReason.GATE_UNAVAILABLE);
     assertThat(sent(PermitWithdrawn.class)).hasSize(1);
   }
 
   @Test
-  void grantThatComesTooLateIsGivenBack() {
-    AdmissionCoordinator desk = desk(NEXT_GATE, 1);
-    desk.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 0);
-    desk.withdraw(1, TARGET, 10);
-    desk.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, RUN), GATE, 20);
+  void grantAfterWithdrawalIsReturned() {
+    AdmissionCoordinator coordinator = coordinator(NEXT_GATE, 1);
+    coordinator.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 0);
+    coordinator.withdraw(1, TARGET, 10);
+    coordinator.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, INCARNATION), GATE, 20);
     assertThat(granted).isEmpty();
     assertThat(sent(PermitReleased.class).get(0).use()).isEqualTo(SlotUse.UNUSED);
   }
 
   @Test
-  void grantOfAnotherRunOrAnotherGateIsNotTaken() {
-    AdmissionCoordinator desk = desk(NEXT_GATE, 1);
-    desk.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 0);
-    desk.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, new Incarnation(6)), GATE, 20);
-    desk.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, RUN), BY_CHOICE.get(2), 20);
+  void grantForOtherIncarnationOrFromOtherGateIsRejected() {
+    AdmissionCoordinator coordinator = coordinator(NEXT_GATE, 1);
+    coordinator.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 0);
+    coordinator.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, new Incarnation(6)), GATE, 20);
+    coordinator.onMessage(
+        new PermitGranted(CELL, FIRST, 1, TARGET, INCARNATION), GATE_ORDER.get(2), 20);
     assertThat(granted).isEmpty();
-    desk.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, RUN), GATE, 20);
+    coordinator.onMessage(new PermitGranted(CELL, FIRST, 1, TARGET, INCARNATION), GATE, 20);
     assertThat(granted).containsExactly(1L);
   }
 
   @Test
-  void newGateCountsReportedPermitsAndReservesForTheLostGate() {
-    AdmissionCoordinator desk = desk(NEXT_GATE, 4);
+  void newGateCountsReportedPermitsAndReservesForLostGate() {
+    AdmissionCoordinator coordinator = coordinator(NEXT_GATE, 4);
     List<RegisteredRouter> left = without(GATE);
-    desk.onTable(SECOND, left, 100);
+    coordinator.onTable(SECOND, left, 100);
     for (long permit = 1; permit <= 4; permit++) {
-      desk.admit(permit, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 100);
+      coordinator.admit(permit, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 100);
     }
     assertThat(granted).isEmpty();
     PermitInUse held = new PermitInUse(9, TARGET, 300);
-    RouterId other = BY_CHOICE.get(2);
-    desk.onMessage(new PermitReport(CELL, other, RUN, SECOND, false, List.of(held)), other, 110);
+    RouterId other = GATE_ORDER.get(2);
+    coordinator.onMessage(
+        new PermitReport(CELL, other, INCARNATION, SECOND, false, List.of(held)), other, 110);
     assertThat(granted).isEmpty();
-    desk.tick(110 + 300 + 500);
+    coordinator.tick(110 + 300 + 500);
     assertThat(granted).containsExactly(1L);
-    desk.tick(100 + 1_000 + 2_000);
+    coordinator.tick(100 + 1_000 + 2_000);
     assertThat(granted).containsExactly(1L, 2L, 3L);
   }
 
   @Test
-  void routerThatSaidItHoldsNoneNeedsNoReserve() {
-    AdmissionCoordinator desk = desk(NEXT_GATE, 4);
-    desk.onMessage(new PermitsClosed(CELL, GATE, RUN), GATE, 50);
-    desk.onTable(SECOND, without(GATE), 100);
-    RouterId other = BY_CHOICE.get(2);
-    desk.onMessage(new PermitReport(CELL, other, RUN, SECOND, false, List.of()), other, 110);
+  void newGateReservesNothingForRouterThatClosedItsPermits() {
+    AdmissionCoordinator coordinator = coordinator(NEXT_GATE, 4);
+    coordinator.onMessage(new PermitsClosed(CELL, GATE, INCARNATION), GATE, 50);
+    coordinator.onTable(SECOND, without(GATE), 100);
+    RouterId other = GATE_ORDER.get(2);
+    coordinator.onMessage(
+        new PermitReport(CELL, other, INCARNATION, SECOND, false, List.of()), other, 110);
     for (long permit = 1; permit <= 3; permit++) {
-      desk.admit(permit, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 120);
+      coordinator.admit(permit, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 120);
     }
     assertThat(granted).containsExactly(1L, 2L, 3L);
   }
 
   @Test
-  void reportsOnlyUnderTheTableOfTheGateThatAsks() {
-    AdmissionCoordinator desk = desk(BY_CHOICE.get(2), 4);
-    PermitReportRequest request = new PermitReportRequest(CELL, NEXT_GATE, RUN, SECOND);
-    desk.onMessage(request, NEXT_GATE, 10);
+  void permitReportIsDeferredUntilTableOfGateIsInstalled() {
+    AdmissionCoordinator coordinator = coordinator(GATE_ORDER.get(2), 4);
+    PermitReportRequest request = new PermitReportRequest(CELL, NEXT_GATE, INCARNATION, SECOND);
+    coordinator.onMessage(request, NEXT_GATE, 10);
     assertThat(sent(PermitReport.class)).isEmpty();
-    desk.onTable(SECOND, without(GATE), 20);
+    coordinator.onTable(SECOND, without(GATE), 20);
     assertThat(sent(PermitReport.class)).hasSize(1);
   }
 
   @Test
-  void restartedGateReservesWhatItsEarlierRunMayHaveUsed() {
-    AdmissionCoordinator desk = desk(GATE, 4);
-    for (RouterId other : BY_CHOICE.subList(1, 3)) {
-      desk.onMessage(new PermitReport(CELL, other, RUN, FIRST, true, List.of()), other, 10);
+  void restartedGateReservesSlotsForItsPreviousIncarnation() {
+    AdmissionCoordinator coordinator = coordinator(GATE, 4);
+    for (RouterId other : GATE_ORDER.subList(1, 3)) {
+      coordinator.onMessage(
+          new PermitReport(CELL, other, INCARNATION, FIRST, true, List.of()), other, 10);
     }
     for (long permit = 1; permit <= 3; permit++) {
-      desk.admit(permit, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 20);
+      coordinator.admit(permit, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 20);
     }
     assertThat(granted).containsExactly(1L);
   }
 
   @Test
-  void closingDeskAdmitsNothingAndSaysSoOnceItIsFree() {
-    AdmissionCoordinator desk = desk(GATE, 4);
-    desk.tick(300);
-    desk.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 300);
-    desk.close();
-    desk.admit(2, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 310);
+  void closedCoordinatorRefusesRequestsAndAnnouncesCloseWhenIdle() {
+    AdmissionCoordinator coordinator = coordinator(GATE, 4);
+    coordinator.tick(300);
+    coordinator.admit(1, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 300);
+    coordinator.close();
+    coordinator.admit(2, TARGET, TENANT, RequestClass.INTERACTIVE, 10_000, 310);
     assertThat(refused).containsExactly(2L, RefusalReason.ROUTER_STOPPING);
     assertThat(sent(PermitsClosed.class)).isEmpty();
-    desk.release(1, TARGET, SlotUse.ANSWERED, 10, 320);
+    coordinator.release(1, TARGET, SlotUse.ANSWERED, 10, 320);
     assertThat(sent(PermitsClosed.class)).hasSize(2);
   }
 
   @Test
-  void connectionSharesStayWithinTheLimit() {
+  void connectionSharesStayWithinLimit() {
     for (int routers = 1; routers <= 20; routers++) {
       assertThat(ConnectionShare.of(40, routers) * routers).isAtMost(40);
       assertThat(ConnectionShare.of(40, routers)).isAtLeast(1);
     }
   }
 
-  private AdmissionCoordinator desk(RouterId self, int slots) {
-    AdmissionCoordinator desk =
-        new AdmissionCoordinator(CELL, self, RUN, AdmissionSettings.DEFAULT, new Recorder());
+  private AdmissionCoordinator coordinator(RouterId self, int slots) {
+    AdmissionCoordinator coordinator =
+        new AdmissionCoordinator(
+            CELL, self, INCARNATION, AdmissionSettings.DEFAULT, new RecordingSink());
     ServiceId service = new ServiceId("claims");
     DataCentreId dataCentre = new DataCentreId("dc");
     Instance instance = new Instance(TARGET, service, dataCentre, "127.0.0.1:2", slots, 40);
-    desk.onTargets(List.of(instance), 0);
-    desk.onTable(FIRST, ROUTERS, 0);
-    return desk;
+    coordinator.onTargets(List.of(instance), 0);
+    coordinator.onTable(FIRST, ROUTERS, 0);
+    return coordinator;
   }
 
   private <M extends PeerMessage> List<M> sent(Class<M> type) {
@@ -180,8 +185,8 @@
     return new RegisteredRouter(new RouterId(name), new DataCentreId("dc"), "127.0.0.1:1", true);
   }
 
-  /** Keeps the effects. */
-  private final class Recorder implements AdmissionSink {
+  /** Records decisions and messages. */
+  private final class RecordingSink implements AdmissionSink {
 
     @Override
     public void granted(long permit) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionInterleavingsTest.java
@@ -29,8 +29,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Generated interleavings of several desks: slots are never exceeded over all routers together, and
- * each request gets one answer. Messages are delayed, links break, routers are lost and replaced.
+ * Runs random interleavings of several {@link AdmissionCoordinator}s with delayed and lost messages
+ * and with routers that fail and are replaced. Checks that all routers together never exceed the
+ * slots of a target, and that each request gets exactly one answer.
  */
 class AdmissionInterleavingsTest {
 
@@ -53,25 +54,25 @@
   private final Map<Long, Call> waiting = new HashMap<>();
   private final Set<Long> answered = new HashSet<>();
 
-  /** A message on its way. */
+  /** A message in transit. */
   private record Sent(PeerMessage message, long sentAtMs) {}
 
   /** A request at a router. */
   private record Call(RouterId router, TargetId target, long permit, long endsAtMs) {}
 
-  /** A router; receives the effects of its desk. */
+  /** A router; receives the decisions and messages of its coordinator. */
   private final class Node implements AdmissionSink {
 
     private final RouterId id;
-    private final AdmissionCoordinator desk;
+    private final AdmissionCoordinator coordinator;
     private TableVersion installed = TableVersion.NONE;
     private boolean lost;
 
     Node(RouterId id, long run) {
       this.id = id;
-      this.desk =
+      this.coordinator =
           new AdmissionCoordinator(CELL, id, new Incarnation(run), AdmissionSettings.DEFAULT, this);
-      desk.onTargets(instances(), nowMs);
+      coordinator.onTargets(instances(), nowMs);
     }
 
     @Override
@@ -103,13 +104,13 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void slotsHoldOverAllRouters(long seed) {
+  void slotLimitHoldsOverAllRouters(long seed) {
     random = new Random(seed);
     for (int i = 0; i < ROUTERS; i++) {
       addRouter("r" + i, i + 1);
     }
     for (int step = 0; step < STEPS; step++) {
-      act(step);
+      performRandomAction(step);
     }
     for (int i = 0; i < 20_000 && !waiting.isEmpty(); i++) {
       advance(5);
@@ -118,25 +119,25 @@
     assertWithMessage("most are served").that(answered.size()).isGreaterThan(STEPS / 5);
   }
 
-  private void act(int step) {
+  private void performRandomAction(int step) {
     int dice = random.nextInt(100);
     if (dice < 40) {
-      start();
+      startRequest();
     } else if (dice < 85) {
       advance(random.nextInt(8));
     } else if (dice < 90) {
       withdraw();
     } else if (dice < 93) {
-      installSomewhere();
+      installOnRandomRouter();
     } else if (dice < 94) {
       breakLink();
     } else if (step % 600 == 0) {
-      loseOrReplace();
+      loseOrAddRouter();
     } else {
       deliverOne();
     }
     if (step % 500 == 499) {
-      loseOrReplace();
+      loseOrAddRouter();
     }
   }
 
@@ -148,7 +149,7 @@
     nodes.put(id, new Node(id, run));
   }
 
-  private void loseOrReplace() {
+  private void loseOrAddRouter() {
     List<Node> alive = nodes.values().stream().filter(node -> !node.lost).toList();
     if (alive.size() < ROUTERS) {
       addRouter("r" + nextPermit, nextPermit);
@@ -166,15 +167,15 @@
     links.keySet().removeIf(link -> link.contains(victim.id));
   }
 
-  private void start() {
-    Node node = anyAlive();
+  private void startRequest() {
+    Node node = randomAliveNode();
     long permit = nextPermit++;
     TargetId target = new TargetId("t" + random.nextInt(TARGETS));
     long endsAtMs = nowMs + random.nextInt((int) LONGEST_SERVICE_MS);
     waiting.put(permit, new Call(node.id, target, permit, endsAtMs));
     RequestClass requestClass = RequestClass.values()[random.nextInt(2)];
     TenantId tenant = new TenantId("tenant" + random.nextInt(3));
-    node.desk.admit(permit, target, tenant, requestClass, nowMs + 1_500, nowMs);
+    node.coordinator.admit(permit, target, tenant, requestClass, nowMs + 1_500, nowMs);
   }
 
   private void withdraw() {
@@ -184,16 +185,16 @@
     Call call = new ArrayList<>(waiting.values()).get(random.nextInt(waiting.size()));
     waiting.remove(call.permit());
     answered.add(call.permit());
-    nodes.get(call.router()).desk.withdraw(call.permit(), call.target(), nowMs);
+    nodes.get(call.router()).coordinator.withdraw(call.permit(), call.target(), nowMs);
   }
 
-  private void installSomewhere() {
-    install(anyAlive());
+  private void installOnRandomRouter() {
+    install(randomAliveNode());
   }
 
   private void install(Node node) {
     node.installed = version;
-    node.desk.onTable(version, routers, nowMs);
+    node.coordinator.onTable(version, routers, nowMs);
   }
 
   private void breakLink() {
@@ -203,8 +204,8 @@
     }
   }
 
-  private void advance(long byMs) {
-    nowMs += byMs;
+  private void advance(long durationMs) {
+    nowMs += durationMs;
     for (Node node : List.copyOf(nodes.values())) {
       if (!node.lost && !node.installed.equals(version) && random.nextInt(10) == 0) {
         install(node);
@@ -222,12 +223,14 @@
         if (!nodes.get(call.router()).lost) {
           nodes
               .get(call.router())
-              .desk
+              .coordinator
               .release(call.permit(), call.target(), SlotUse.ANSWERED, 20, nowMs);
         }
       }
     }
-    nodes.values().stream().filter(node -> !node.lost).forEach(node -> node.desk.tick(nowMs));
+    nodes.values().stream()
+        .filter(node -> !node.lost)
+        .forEach(node -> node.coordinator.tick(nowMs));
   }
 
   private void deliverOne() {
@@ -242,11 +245,11 @@
   private void deliver(List<RouterId> link, Sent sent) {
     Node receiver = nodes.get(link.get(1));
     if (receiver != null && !receiver.lost) {
-      receiver.desk.onMessage(sent.message(), link.get(0), nowMs);
+      receiver.coordinator.onMessage(sent.message(), link.get(0), nowMs);
     }
   }
 
-  private Node anyAlive() {
+  private Node randomAliveNode() {
     List<Node> alive = nodes.values().stream().filter(node -> !node.lost).toList();
     return alive.get(random.nextInt(alive.size()));
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/TargetGateTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/TargetGateTest.java
@@ -21,7 +21,7 @@
   private static final RouterId OTHER = new RouterId("r-other");
   private static final TenantId FLOOD = new TenantId("flood");
   private static final TenantId QUIET = new TenantId("quiet");
-  private static final long FAR_MS = 20_000;
+  private static final long FAR_DEADLINE_MS = 20_000;
   private static final AdmissionSettings SETTINGS =
       new AdmissionSettings(8, 0.2, 30_000, 2_000, 500, 300, 1_000);
 
@@ -31,47 +31,47 @@
   private final TargetGate gate = gate(2, 2);
 
   @Test
-  void grantsUpToItsSlotsAndThenInOrder() {
-    ask(1, QUIET, FAR_MS, 0);
-    ask(2, QUIET, FAR_MS, 0);
-    ask(3, QUIET, FAR_MS, 0);
-    ask(4, QUIET, FAR_MS, 0);
+  void grantsAllSlotsThenQueuesInOrder() {
+    request(1, QUIET, FAR_DEADLINE_MS, 0);
+    request(2, QUIET, FAR_DEADLINE_MS, 0);
+    request(3, QUIET, FAR_DEADLINE_MS, 0);
+    request(4, QUIET, FAR_DEADLINE_MS, 0);
     assertThat(granted).containsExactly(1L, 2L).inOrder();
-    free(2, 10, 10);
+    release(2, 10, 10);
     assertThat(granted).containsExactly(1L, 2L, 3L).inOrder();
     gate.withdraw(OTHER, 1, 4, 10);
-    free(1, 10, 10);
-    free(3, 10, 10);
+    release(1, 10, 10);
+    release(3, 10, 10);
     assertThat(granted).containsExactly(1L, 2L, 3L).inOrder();
     assertThat(gate.inUse()).isEqualTo(0);
   }
 
   @Test
-  void askingAgainRepeatsTheDecisionWithoutAnotherSlot() {
-    ask(1, QUIET, FAR_MS, 0);
-    ask(1, QUIET, FAR_MS, 1);
+  void repeatedRequestRepeatsDecisionWithoutAnotherSlot() {
+    request(1, QUIET, FAR_DEADLINE_MS, 0);
+    request(1, QUIET, FAR_DEADLINE_MS, 1);
     assertThat(granted).containsExactly(1L, 1L);
     assertThat(gate.inUse()).isEqualTo(1);
-    ask(2, QUIET, FAR_MS, 1);
-    ask(3, QUIET, FAR_MS, 1);
-    ask(3, QUIET, FAR_MS, 2);
+    request(2, QUIET, FAR_DEADLINE_MS, 1);
+    request(3, QUIET, FAR_DEADLINE_MS, 1);
+    request(3, QUIET, FAR_DEADLINE_MS, 2);
     assertThat(gate.queued(RequestClass.INTERACTIVE)).isEqualTo(1);
   }
 
   @Test
-  void grantsNothingBeforeItIsOpen() {
-    TargetGate shut = new TargetGate(SETTINGS, SELF, 2, 2, sink());
-    shut.request(OTHER, 1, 1, QUIET, RequestClass.INTERACTIVE, FAR_MS, 0);
+  void grantsNothingBeforeOpen() {
+    TargetGate closed = new TargetGate(SETTINGS, SELF, 2, 2, sink());
+    closed.request(OTHER, 1, 1, QUIET, RequestClass.INTERACTIVE, FAR_DEADLINE_MS, 0);
     assertThat(granted).isEmpty();
-    shut.open(5);
+    closed.open(5);
     assertThat(granted).containsExactly(1L);
   }
 
   @Test
-  void keepsReservedSlotsFreeUntilTheirEnd() {
+  void keepsReservedSlotsFreeUntilExpiry() {
     gate.reserve(OTHER, 2, 100);
-    ask(1, QUIET, FAR_MS, 0);
-    ask(2, QUIET, FAR_MS, 0);
+    request(1, QUIET, FAR_DEADLINE_MS, 0);
+    request(2, QUIET, FAR_DEADLINE_MS, 0);
     assertThat(granted).containsExactly(1L);
     gate.tick(99);
     assertThat(granted).hasSize(1);
@@ -80,12 +80,12 @@
   }
 
   @Test
-  void keepsPermitsOfLostRouterUntilTheirDeadlineAndForgetsItsQueue() {
-    ask(1, QUIET, 1_000, 0);
-    ask(2, QUIET, 1_000, 0);
-    ask(3, QUIET, 3_000, 0);
+  void keepsPermitsOfLostRouterUntilExpiryAndRemovesItsQueuedRequests() {
+    request(1, QUIET, 1_000, 0);
+    request(2, QUIET, 1_000, 0);
+    request(3, QUIET, 3_000, 0);
     gate.onRouterLost(OTHER, 0);
-    gate.request(SELF, 9, 4, QUIET, RequestClass.INTERACTIVE, FAR_MS, 10);
+    gate.request(SELF, 9, 4, QUIET, RequestClass.INTERACTIVE, FAR_DEADLINE_MS, 10);
     gate.tick(1_499);
     assertThat(granted).containsExactly(1L, 2L).inOrder();
     gate.tick(1_500);
@@ -93,31 +93,31 @@
   }
 
   @Test
-  void limitsTheRouterThatRunsIt() {
+  void limitsSlotsOfOwnRouter() {
     TargetGate limited = gate(3, 2);
     for (long permit = 1; permit <= 3; permit++) {
-      limited.request(SELF, 9, permit, QUIET, RequestClass.INTERACTIVE, FAR_MS, 0);
+      limited.request(SELF, 9, permit, QUIET, RequestClass.INTERACTIVE, FAR_DEADLINE_MS, 0);
     }
     assertThat(granted).containsExactly(1L, 2L);
-    limited.request(OTHER, 1, 7, QUIET, RequestClass.INTERACTIVE, FAR_MS, 0);
+    limited.request(OTHER, 1, 7, QUIET, RequestClass.INTERACTIVE, FAR_DEADLINE_MS, 0);
     assertThat(granted).containsExactly(1L, 2L, 7L).inOrder();
     limited.release(SELF, 9, 1, SlotUse.ANSWERED, 5, 5);
     assertThat(granted).containsExactly(1L, 2L, 7L, 3L).inOrder();
   }
 
   @Test
-  void floodOfOneTenantDoesNotDelayAnother() {
-    ask(1, FLOOD, FAR_MS, 0);
-    ask(2, FLOOD, FAR_MS, 0);
+  void floodOfOneTenantDoesNotDelayAnotherTenant() {
+    request(1, FLOOD, FAR_DEADLINE_MS, 0);
+    request(2, FLOOD, FAR_DEADLINE_MS, 0);
     for (long permit = 100; permit < 116; permit++) {
-      ask(permit, FLOOD, FAR_MS, 0);
+      request(permit, FLOOD, FAR_DEADLINE_MS, 0);
     }
-    ask(50, QUIET, FAR_MS, 0);
+    request(50, QUIET, FAR_DEADLINE_MS, 0);
     assertWithMessage("a full queue drops the newest of the flood")
         .that(refused.get(115L))
         .isEqualTo(RefusalReason.QUEUE_FULL);
-    free(1, 10, 10);
-    free(2, 10, 10);
+    release(1, 10, 10);
+    release(2, 10, 10);
     assertThat(granted).contains(50L);
   }
 
@@ -130,9 +130,16 @@
     long quietMs = 0;
     for (int round = 0; round < 400; round++) {
       for (int i = 0; i < (round == 0 ? 3 : 1); i++) {
-        one.request(OTHER, 1, nextPermit, FLOOD, RequestClass.INTERACTIVE, nowMs + FAR_MS, nowMs);
         one.request(
-            OTHER, 1, nextPermit + 1, QUIET, RequestClass.INTERACTIVE, nowMs + FAR_MS, nowMs);
+            OTHER, 1, nextPermit, FLOOD, RequestClass.INTERACTIVE, nowMs + FAR_DEADLINE_MS, nowMs);
+        one.request(
+            OTHER,
+            1,
+            nextPermit + 1,
+            QUIET,
+            RequestClass.INTERACTIVE,
+            nowMs + FAR_DEADLINE_MS,
+            nowMs);
         nextPermit += 2;
       }
       long running = granted.get(granted.size() - 1);
@@ -147,17 +154,18 @@
   }
 
   @Test
-  void deferrableWaitsBehindInteractiveButKeepsItsShare() {
+  void deferrableRequestsKeepTheirShareBehindInteractiveOnes() {
     TargetGate one = gate(1, 1);
-    one.request(OTHER, 1, 1, QUIET, RequestClass.INTERACTIVE, FAR_MS, 0);
+    one.request(OTHER, 1, 1, QUIET, RequestClass.INTERACTIVE, FAR_DEADLINE_MS, 0);
     for (long permit = 1_000; permit < 1_008; permit++) {
-      one.request(OTHER, 1, permit, FLOOD, RequestClass.DEFERRABLE, FAR_MS, 0);
+      one.request(OTHER, 1, permit, FLOOD, RequestClass.DEFERRABLE, FAR_DEADLINE_MS, 0);
     }
     long next = 2;
     long running = 1;
     int deferrableRuns = 0;
     for (long nowMs = 10; nowMs <= 400; nowMs += 10) {
-      one.request(OTHER, 1, next++, QUIET, RequestClass.INTERACTIVE, nowMs + FAR_MS, nowMs);
+      one.request(
+          OTHER, 1, next++, QUIET, RequestClass.INTERACTIVE, nowMs + FAR_DEADLINE_MS, nowMs);
       one.release(OTHER, 1, running, SlotUse.ANSWERED, 10, nowMs);
       running = granted.get(granted.size() - 1);
       deferrableRuns += running >= 1_000 ? 1 : 0;
@@ -167,23 +175,23 @@
   }
 
   @Test
-  void deferrableLeavesOneSlotForInteractive() {
-    gate.request(OTHER, 1, 1, FLOOD, RequestClass.DEFERRABLE, FAR_MS, 0);
-    gate.request(OTHER, 1, 2, FLOOD, RequestClass.DEFERRABLE, FAR_MS, 0);
-    ask(3, QUIET, FAR_MS, 0);
+  void deferrableRequestsLeaveOneSlotForInteractiveOnes() {
+    gate.request(OTHER, 1, 1, FLOOD, RequestClass.DEFERRABLE, FAR_DEADLINE_MS, 0);
+    gate.request(OTHER, 1, 2, FLOOD, RequestClass.DEFERRABLE, FAR_DEADLINE_MS, 0);
+    request(3, QUIET, FAR_DEADLINE_MS, 0);
     assertThat(granted).containsExactly(1L, 3L).inOrder();
   }
 
   @Test
-  void refusesAtOnceWhatCannotBeInTime() {
-    measure(100);
-    ask(11, QUIET, 10_000, 1_000);
-    ask(12, QUIET, 10_000, 1_000);
-    ask(13, QUIET, 10_000, 1_000);
-    ask(14, QUIET, 1_150, 1_000);
+  void refusesRequestThatCannotMeetItsDeadline() {
+    recordServiceTime(100);
+    request(11, QUIET, 10_000, 1_000);
+    request(12, QUIET, 10_000, 1_000);
+    request(13, QUIET, 10_000, 1_000);
+    request(14, QUIET, 1_150, 1_000);
     assertThat(refused).containsEntry(14L, RefusalReason.DEADLINE_UNREACHABLE);
     assertThat(retryAfterMs.get(14L)).isAtLeast(20L);
-    ask(15, QUIET, 1_300, 1_000);
+    request(15, QUIET, 1_300, 1_000);
     assertThat(refused).doesNotContainKey(15L);
     gate.tick(1_250);
     assertThat(refused).containsEntry(15L, RefusalReason.DEADLINE_UNREACHABLE);
@@ -191,38 +199,38 @@
   }
 
   @Test
-  void idleTargetIsTriedWhateverWasMeasured() {
-    measure(5_000);
-    ask(11, QUIET, 1_100, 1_000);
+  void idleTargetGetsRequestDespiteSlowMeasurements() {
+    recordServiceTime(5_000);
+    request(11, QUIET, 1_100, 1_000);
     assertThat(granted).contains(11L);
   }
 
   @Test
-  void slowKindsDoNotShutOutFastOnes() {
-    measure(10);
-    measure(2_000);
-    ask(11, QUIET, FAR_MS, 1_000);
-    ask(12, QUIET, 1_200, 1_000);
+  void slowRequestsDoNotCauseRefusalOfFastOnes() {
+    recordServiceTime(10);
+    recordServiceTime(2_000);
+    request(11, QUIET, FAR_DEADLINE_MS, 1_000);
+    request(12, QUIET, 1_200, 1_000);
     assertThat(granted).contains(12L);
   }
 
   @Test
-  void passedDeadlineIsNeverGranted() {
-    ask(1, QUIET, 100, 100);
+  void requestAfterItsDeadlineIsRefused() {
+    request(1, QUIET, 100, 100);
     assertThat(granted).isEmpty();
     assertThat(refused).containsEntry(1L, RefusalReason.DEADLINE_UNREACHABLE);
   }
 
-  private void measure(long serviceMs) {
-    ask(900, QUIET, FAR_MS, 0);
-    free(900, serviceMs, 0);
+  private void recordServiceTime(long serviceMs) {
+    request(900, QUIET, FAR_DEADLINE_MS, 0);
+    release(900, serviceMs, 0);
   }
 
-  private void ask(long permit, TenantId tenant, long deadlineMs, long nowMs) {
+  private void request(long permit, TenantId tenant, long deadlineMs, long nowMs) {
     gate.request(OTHER, 1, permit, tenant, RequestClass.INTERACTIVE, deadlineMs, nowMs);
   }
 
-  private void free(long permit, long serviceMs, long nowMs) {
+  private void release(long permit, long serviceMs, long nowMs) {
     gate.release(OTHER, 1, permit, SlotUse.ANSWERED, serviceMs, nowMs);
   }
 
