--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionCoordinator.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/AdmissionCoordinator.java
@@ -80,7 +80,7 @@
   }
 
   /**
-   * Sets the targets of the cell.
+   * Adds new targets of the cell and updates the number of slots of known ones.
    *
    * @param instances the instances of the cell's service; not null
    * @param nowMs the current time in milliseconds
@@ -185,7 +185,7 @@
   }
 
   /**
-   * Handles a message of another router. Messages of other types are ignored.
+   * Handles a message of another router. Messages that are not about permits are ignored.
    *
    * @param message the message; not null
    * @param from the sender; not null
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetAdmission.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/TargetAdmission.java
@@ -159,9 +159,9 @@
       owner.sink().refused(permit, RefusalReason.NOT_READY, owner.settings().gateTimeoutMs());
       return;
     }
-    RemotePermit asked = new RemotePermit(permit, tenant, requestClass, deadlineMs, nowMs);
-    remote.put(permit, asked);
-    sendRequest(asked, nowMs);
+    RemotePermit remotePermit = new RemotePermit(permit, tenant, requestClass, deadlineMs, nowMs);
+    remote.put(permit, remotePermit);
+    sendRequest(remotePermit, nowMs);
   }
 
   void release(long permit, SlotUse use, long serviceMs, long nowMs) {
@@ -217,27 +217,27 @@
 
   /** Handles a grant. Returns false if the slot must be returned to the sender. */
   boolean onGranted(long permit, RouterId from) {
-    RemotePermit asked = from.equals(gateRouter) ? remote.get(permit) : null;
-    if (asked == null) {
+    RemotePermit remotePermit = from.equals(gateRouter) ? remote.get(permit) : null;
+    if (remotePermit == null) {
       return false;
     }
-    if (!asked.held) {
-      asked.held = true;
+    if (!remotePermit.held) {
+      remotePermit.held = true;
       owner.sink().granted(permit);
     }
     return true;
   }
 
   void onQueued(long permit, RouterId from, long nowMs) {
-    RemotePermit asked = remote.get(permit);
-    if (asked != null && from.equals(gateRouter)) {
-      asked.repliedAtMs = nowMs;
+    RemotePermit remotePermit = remote.get(permit);
+    if (remotePermit != null && from.equals(gateRouter)) {
+      remotePermit.repliedAtMs = nowMs;
     }
   }
 
   void onRefused(PermitRefused refused, RouterId from, long nowMs) {
-    RemotePermit asked = remote.get(refused.permit());
-    if (asked == null || asked.held || !from.equals(gateRouter)) {
+    RemotePermit remotePermit = remote.get(refused.permit());
+    if (remotePermit == null || remotePermit.held || !from.equals(gateRouter)) {
       return;
     }
     if (refused.reason() == RefusalReason.GATE_UNAVAILABLE) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/LocalQuota.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/LocalQuota.java
@@ -8,273 +8,284 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What one gateway may send to one target with a limit.
+ * The quota of one gateway for one target with a rate limit.
  *
- * <p>It asks the issuer whenever it has a request and nothing left, and refuses requests until the
- * time that the issuer names. What it was given runs out unused after a short time. If the issuer
- * does not answer, it goes on with a small part of the limit, at moments that are random, so that
- * all gateways together exceed the limit neither alone nor beside an issuer. Not safe for use by
- * several threads.
+ * <p>A gateway requests tokens from the issuer when it has a request and no token left, and refuses
+ * requests until the time given by the issuer. Unused tokens expire after a short time. If the
+ * issuer does not answer, the gateway falls back to a small part of the limit and sends at random
+ * times, so that all gateways together stay within the limit, whether or not an issuer still serves
+ * some of them. Not thread-safe.
  *
  * @since 0.2
  */
 public final class LocalQuota {
 
-  /** What this gateway does with a request. */
+  /** The decision on a request. */
   public enum Decision {
-    /** It may be sent; one less is left. */
+    /** A token was taken; the request may be sent. */
     TAKEN,
-    /** The issuer has to be asked now, then it waits. */
+    /** The caller must request tokens from the issuer now; the request waits. */
     ASK,
-    /** The issuer has been asked; it waits. */
+    /** Tokens have been requested from the issuer; the request waits. */
     WAIT,
-    /** It cannot be sent for now. */
+    /** The request cannot be sent for now. */
     REFUSED
   }
 
-  /** For how long after the question a grant may be used. */
-  static final long GRANT_MS = 500;
+  /** How long tokens are valid, counted from the request to the issuer. */
+  static final long TOKEN_LIFETIME_MS = 500;
 
-  /** An answer takes a few milliseconds, at a busy issuer some tens. */
+  /**
+   * Timeout of a request to the issuer. An answer takes a few milliseconds, or some tens if the
+   * issuer is busy.
+   */
   public static final long ANSWER_MS = 150;
 
-  /** Unanswered questions in a row after which it goes on alone. */
-  private static final int ALONE_AFTER = 2;
+  /** Consecutive unanswered requests after which the issuer counts as unreachable. */
+  private static final int UNREACHABLE_AFTER = 2;
 
-  /** Pause between two questions to an issuer that does not answer. */
+  /** Pause before the next request to an issuer that did not answer. */
   private static final long RETRY_MS = 300;
 
-  /** A lost issuer is replaced within about so long; longer waits are promised to nobody then. */
-  private static final long REPLACED_MS = 1_500;
+  /**
+   * A lost issuer is replaced within about this time, so a longer wait is not announced meanwhile.
+   */
+  private static final long ISSUER_REPLACEMENT_MS = 1_500;
 
-  /** Nobody is told to come back later than that: limits and owners change meanwhile. */
-  static final long LONGEST_WAIT_MS = 5_000;
+  /** Longest wait announced to a caller, since limits and owners may change meanwhile. */
+  static final long MAX_WAIT_MS = 5_000;
 
-  /** The part of the limit that all gateways together use if none of them hears an issuer. */
-  static final double ALONE_SHARE = 0.5;
+  /** The part of the limit that all gateways together use if none of them reaches an issuer. */
+  static final double FALLBACK_SHARE = 0.5;
 
-  /** Requests of about so long are asked for ahead, where many come. */
-  private static final double AHEAD_S = 0.1;
+  /** Tokens are requested in advance for the requests expected within this time. */
+  private static final double PREFETCH_S = 0.1;
 
-  /** Weight of the newest pause between two requests in the mean pause. */
-  private static final double NEWEST = 0.1;
+  /** Weight of the newest interval between two requests in the moving average. */
+  private static final double INTERVAL_WEIGHT = 0.1;
 
-  private static final double LONGEST_PAUSE_MS = 10_000;
+  private static final double MAX_INTERVAL_MS = 10_000;
   private static final double MS_PER_S = 1_000;
 
   private final RandomGenerator random;
-  private final Map<Integer, Asking> askingByPriority = new HashMap<>();
-  private final List<Granted> granted = new ArrayList<>();
+  private final Map<Integer, IssuerState> stateByPriority = new HashMap<>();
+  private final List<Token> tokens = new ArrayList<>();
   private double perS;
   private int unanswered;
-  private long aloneAtMs;
-  private long aloneUntilMs;
-  private boolean aloneStarted;
-  private double meanPauseMs = LONGEST_PAUSE_MS;
-  private long requestedMs;
+  private long nextFallbackMs;
+  private long fallbackUntilMs;
+  private boolean fallbackStarted;
+  private double meanIntervalMs = MAX_INTERVAL_MS;
+  private long lastRequestMs;
 
   /**
-   * Creates a share with nothing in it.
+   * Creates a quota without tokens.
    *
-   * @param perS the limit of the target; requests a second; at least 0
-   * @param random spreads what gateways send alone; not null
+   * @param perS the limit of the target; requests per second; at least 0
+   * @param random randomises send times while the issuer is unreachable; not null
    */
   public LocalQuota(double perS, RandomGenerator random) {
-    this.perS = Math.max(PriorityTokenBucket.LEAST_PER_S, perS);
+    this.perS = Math.max(PriorityTokenBucket.MIN_PER_S, perS);
     this.random = random;
   }
 
   /**
    * Changes the limit.
    *
-   * @param nextPerS requests a second; at least 0
+   * @param nextPerS requests per second; at least 0
    */
   public void setLimit(double nextPerS) {
-    perS = Math.max(PriorityTokenBucket.LEAST_PER_S, nextPerS);
+    perS = Math.max(PriorityTokenBucket.MIN_PER_S, nextPerS);
   }
 
   /**
    * Decides on a request that is about to be sent.
    *
-   * @param priority its priority; lower is more urgent
-   * @param gateways how many gateways there are, as far as is known; at least 1
-   * @param nowMs the time; milliseconds
-   * @return never null
+   * @param priority the priority of the request; lower is more urgent
+   * @param gateways the known number of gateways; at least 1
+   * @param nowMs the current time in milliseconds
+   * @return the decision; never null
    */
   public Decision take(int priority, int gateways, long nowMs) {
-    notePause(nowMs);
-    if (takeGranted(priority, nowMs)) {
+    recordInterval(nowMs);
+    if (takeToken(priority, nowMs)) {
       return Decision.TAKEN;
     }
-    Asking asking = askingByPriority.computeIfAbsent(priority, id -> new Asking());
-    if (asking.isOverdue(nowMs)) {
-      asking.giveUp(nowMs);
+    IssuerState state = stateByPriority.computeIfAbsent(priority, id -> new IssuerState());
+    if (state.isOverdue(nowMs)) {
+      state.onTimeout(nowMs);
       unanswered++;
     }
-    if (isIssuerUnreachable() && takeAlone(gateways, nowMs)) {
+    if (isIssuerUnreachable() && takeFallbackToken(gateways, nowMs)) {
       return Decision.TAKEN;
     }
-    if (asking.isUnderWay()) {
+    if (state.isPending()) {
       return isIssuerUnreachable() ? Decision.REFUSED : Decision.WAIT;
     }
-    if (nowMs < asking.blockedUntilMs) {
+    if (nowMs < state.blockedUntilMs) {
       return Decision.REFUSED;
     }
-    asking.begin(nowMs);
+    state.onAsked(nowMs);
     return Decision.ASK;
   }
 
   /**
-   * Tells whether a request of a priority would be refused now, and until when.
+   * Returns for how long a request of a priority would be refused.
    *
-   * @param priority its priority
-   * @param nowMs the time; milliseconds
-   * @return after which time it may be sent; milliseconds, at least 1; empty if it need not be
+   * @param priority the priority of the request
+   * @param nowMs the current time in milliseconds
+   * @return the time until it may be sent; milliseconds, at least 1; empty if it would not be
    *     refused
    */
   public OptionalLong refusedForMs(int priority, long nowMs) {
-    Asking asking = askingByPriority.get(priority);
-    boolean usable = asking == null || granted.stream().anyMatch(one -> one.fits(priority, nowMs));
-    if (usable || (asking.isUnderWay() && !isIssuerUnreachable())) {
+    IssuerState state = stateByPriority.get(priority);
+    boolean usable =
+        state == null || tokens.stream().anyMatch(token -> token.isUsableFor(priority, nowMs));
+    if (usable || (state.isPending() && !isIssuerUnreachable())) {
       return OptionalLong.empty();
     }
-    long forMs = asking.blockedUntilMs - nowMs;
+    long waitMs = state.blockedUntilMs - nowMs;
     if (isIssuerUnreachable()) {
-      forMs = Math.max(1, Math.max(forMs, Math.min(REPLACED_MS, aloneAtMs - nowMs)));
+      waitMs =
+          Math.max(1, Math.max(waitMs, Math.min(ISSUER_REPLACEMENT_MS, nextFallbackMs - nowMs)));
     }
-    return forMs > 0 ? OptionalLong.of(forMs) : OptionalLong.empty();
+    return waitMs > 0 ? OptionalLong.of(waitMs) : OptionalLong.empty();
   }
 
   /**
-   * Returns when a caller that is refused now should come back: each one later than the one before.
+   * Returns when a caller that is refused now should retry. Successive callers get successively
+   * later times.
    *
-   * @param priority the priority of its request
-   * @param nowMs the time; milliseconds
-   * @return milliseconds; at least 1
+   * @param priority the priority of the request
+   * @param nowMs the current time in milliseconds
+   * @return the delay in milliseconds; at least 1
    */
   public long nextRetryAfterMs(int priority, long nowMs) {
-    Asking asking = askingByPriority.computeIfAbsent(priority, id -> new Asking());
+    IssuerState state = stateByPriority.computeIfAbsent(priority, id -> new IssuerState());
     long earliestMs = nowMs + refusedForMs(priority, nowMs).orElse(1);
-    long promisedMs = Math.max(earliestMs, asking.promisedUntilMs);
-    promisedMs = Math.min(promisedMs, nowMs + LONGEST_WAIT_MS);
-    asking.promisedUntilMs = promisedMs + asking.spacingMs;
-    return promisedMs - nowMs;
+    long retryAtMs = Math.max(earliestMs, state.nextRetryAtMs);
+    retryAtMs = Math.min(retryAtMs, nowMs + MAX_WAIT_MS);
+    state.nextRetryAtMs = retryAtMs + state.spacingMs;
+    return retryAtMs - nowMs;
   }
 
   /**
-   * Returns how many more requests than those that wait are likely to come before the next question
-   * is answered.
+   * Returns the number of requests expected to arrive before the next answer of the issuer, in
+   * addition to those that already wait.
    *
-   * @return at least 0
+   * @return the number; at least 0
    */
   public int expectedRequests() {
-    return (int) Math.min(perS, AHEAD_S * MS_PER_S / Math.max(1, meanPauseMs));
+    return (int) Math.min(perS, PREFETCH_S * MS_PER_S / Math.max(1, meanIntervalMs));
   }
 
   /**
-   * Takes the issuer's answer.
+   * Handles an answer of the issuer.
    *
-   * @param priority for which priority it was asked
+   * @param priority the priority for which tokens were requested
    * @param grant the answer; not null
-   * @param nowMs the time; milliseconds
+   * @param nowMs the current time in milliseconds
    */
   public void onGrant(int priority, QuotaGrant grant, long nowMs) {
-    Asking asking = askingByPriority.get(priority);
+    IssuerState state = stateByPriority.get(priority);
     unanswered = 0;
-    aloneStarted = false;
-    if (asking == null) {
+    fallbackStarted = false;
+    if (state == null) {
       return;
     }
     for (int i = 0; i < grant.count(); i++) {
-      granted.add(new Granted(priority, asking.askedMs + GRANT_MS));
+      tokens.add(new Token(priority, state.askedMs + TOKEN_LIFETIME_MS));
     }
-    asking.end(grant, nowMs);
+    state.onGrant(grant, nowMs);
   }
 
   /**
-   * Tells whether the issuer is believed not to hear this gateway.
+   * Returns whether the issuer counts as unreachable.
    *
-   * @return true after several questions without an answer
+   * @return true after several consecutive requests without an answer
    */
   public boolean isIssuerUnreachable() {
-    return unanswered >= ALONE_AFTER;
+    return unanswered >= UNREACHABLE_AFTER;
   }
 
-  private void notePause(long nowMs) {
-    double pauseMs = Math.min(LONGEST_PAUSE_MS, nowMs - requestedMs);
-    meanPauseMs += NEWEST * (pauseMs - meanPauseMs);
-    requestedMs = nowMs;
+  private void recordInterval(long nowMs) {
+    double intervalMs = Math.min(MAX_INTERVAL_MS, nowMs - lastRequestMs);
+    meanIntervalMs += INTERVAL_WEIGHT * (intervalMs - meanIntervalMs);
+    lastRequestMs = nowMs;
   }
 
-  private boolean takeGranted(int priority, long nowMs) {
-    granted.removeIf(one -> one.untilMs <= nowMs);
-    for (int i = 0; i < granted.size(); i++) {
-      if (granted.get(i).fits(priority, nowMs)) {
-        granted.remove(i);
+  private boolean takeToken(int priority, long nowMs) {
+    tokens.removeIf(token -> token.expiresAtMs <= nowMs);
+    for (int i = 0; i < tokens.size(); i++) {
+      if (tokens.get(i).isUsableFor(priority, nowMs)) {
+        tokens.remove(i);
         return true;
       }
     }
     return false;
   }
 
-  /** Gateways that hear nobody must not save up: each has its turns, and unused ones are lost. */
-  private boolean takeAlone(int gateways, long nowMs) {
-    if (!aloneStarted) {
-      aloneStarted = true;
-      aloneAtMs = nowMs + alonePauseMs(gateways);
-      aloneUntilMs = 0;
+  /**
+   * Takes the current fallback token, if there is one. Fallback tokens do not accumulate, so that
+   * gateways without an issuer cannot send bursts.
+   */
+  private boolean takeFallbackToken(int gateways, long nowMs) {
+    if (!fallbackStarted) {
+      fallbackStarted = true;
+      nextFallbackMs = nowMs + fallbackIntervalMs(gateways);
+      fallbackUntilMs = 0;
     }
-    while (aloneAtMs <= nowMs) {
-      aloneUntilMs = aloneAtMs + GRANT_MS;
-      aloneAtMs += alonePauseMs(gateways);
+    while (nextFallbackMs <= nowMs) {
+      fallbackUntilMs = nextFallbackMs + TOKEN_LIFETIME_MS;
+      nextFallbackMs += fallbackIntervalMs(gateways);
     }
-    boolean has = nowMs < aloneUntilMs;
-    aloneUntilMs = 0;
-    return has;
+    boolean available = nowMs < fallbackUntilMs;
+    fallbackUntilMs = 0;
+    return available;
   }
 
-  private long alonePauseMs(int gateways) {
-    double meanMs = MS_PER_S * gateways / (ALONE_SHARE * perS);
+  private long fallbackIntervalMs(int gateways) {
+    double meanMs = MS_PER_S * gateways / (FALLBACK_SHARE * perS);
     return 1 + (long) (-Math.log(1 - random.nextDouble()) * meanMs);
   }
 
-  /** One request that may be sent, if it is as urgent as the one for which was asked. */
-  private record Granted(int priority, long untilMs) {
+  /** Permission to send one request of the given priority or a more urgent one. */
+  private record Token(int priority, long expiresAtMs) {
 
-    boolean fits(int other, long nowMs) {
-      return other <= priority && nowMs < untilMs;
+    boolean isUsableFor(int other, long nowMs) {
+      return other <= priority && nowMs < expiresAtMs;
     }
   }
 
-  /** The questions to the issuer for requests of one priority. */
-  private static final class Asking {
+  /** State of the token requests to the issuer for one priority. */
+  private static final class IssuerState {
 
     private long askedMs;
-    private boolean underWay;
+    private boolean pending;
     private long blockedUntilMs;
-    private long promisedUntilMs;
+    private long nextRetryAtMs;
     private long spacingMs;
 
-    boolean isUnderWay() {
-      return underWay;
+    boolean isPending() {
+      return pending;
     }
 
     boolean isOverdue(long nowMs) {
-      return underWay && nowMs - askedMs > ANSWER_MS;
+      return pending && nowMs - askedMs > ANSWER_MS;
     }
 
-    void begin(long nowMs) {
-      underWay = true;
+    void onAsked(long nowMs) {
+      pending = true;
       askedMs = nowMs;
     }
 
-    void giveUp(long nowMs) {
-      underWay = false;
+    void onTimeout(long nowMs) {
+      pending = false;
       blockedUntilMs = nowMs + RETRY_MS;
     }
 
-    void end(QuotaGrant grant, long nowMs) {
-      underWay = false;
+    void onGrant(QuotaGrant grant, long nowMs) {
+      pending = false;
       blockedUntilMs = nowMs + grant.waitMs();
       spacingMs = grant.spacingMs();
     }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/PriorityTokenBucket.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/PriorityTokenBucket.java
@@ -4,101 +4,108 @@
 import java.util.TreeMap;
 
 /**
- * The requests that may be sent to one target: a token bucket whose last tokens are kept for the
- * most urgent of the priorities that ask.
+ * A token bucket for the requests to one target. The last tokens are reserved for the most urgent
+ * of the active priorities.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class PriorityTokenBucket {
 
-  /** How much may be saved up beyond one token, as the time in which it comes in. */
-  private static final double SAVED_S = 0.5;
+  /** Capacity beyond the first token, as the time in which it fills up. */
+  private static final double BURST_S = 0.5;
 
-  /** The least of that: else nothing could be kept for urgent requests at a low rate. */
-  private static final double LEAST_SAVED = 1;
+  /**
+   * Minimum capacity beyond the first token. Without it, no tokens could be reserved for urgent
+   * requests at a low rate.
+   */
+  private static final double MIN_BURST = 1;
 
-  /** A limit of 0 is tried this often, or nobody would notice that it has ended. */
-  static final double LEAST_PER_S = 0.05;
+  /** Minimum rate, so that requests still probe a target with a limit of 0 and detect its end. */
+  static final double MIN_PER_S = 0.05;
 
-  /** A priority counts as asking for so long, or for the time of two tokens. */
-  private static final long ASKING_MS = 2_000;
+  /** How long a priority counts as active after a request, or the time of two tokens if longer. */
+  private static final long ACTIVE_MS = 2_000;
 
-  private static final int MOST_PRIORITIES = 16;
+  private static final int MAX_PRIORITIES = 16;
   private static final double MS_PER_S = 1_000;
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
-  private final Map<Integer, Long> askedMsByPriority = new TreeMap<>();
+  private final Map<Integer, Long> requestedMsByPriority = new TreeMap<>();
   private double perS;
   private double tokens;
   private long refilledMs;
 
-  /** Creates an empty bucket: nobody knows what was sent a moment ago. */
+  /** Creates an empty bucket, since the requests sent before its creation are unknown. */
   PriorityTokenBucket(double perS, long nowMs) {
-    this.perS = Math.max(LEAST_PER_S, perS);
+    this.perS = Math.max(MIN_PER_S, perS);
     this.refilledMs = nowMs;
   }
 
-  /** Changes the rate from now on. */
+  /** Sets the rate that applies from now on. */
   void setRate(double nextPerS, double share, long nowMs) {
     refill(share, nowMs);
-    perS = Math.max(LEAST_PER_S, nextPerS);
+    perS = Math.max(MIN_PER_S, nextPerS);
   }
 
   /**
    * Takes tokens.
    *
    * @param priority the priority of the requests; lower is more urgent
-   * @param wanted how many are needed now
-   * @param ahead how many more would be of use soon; given only while there are plenty
-   * @param share the part of the rate that is to be given out here; 0 to 1
-   * @param nowMs the time; milliseconds
+   * @param wanted the number of tokens needed now
+   * @param ahead the number of further tokens needed soon; granted only while the bucket is more
+   *     than half full
+   * @param share the part of the rate that this bucket may issue; 0 to 1
+   * @param nowMs the current time in milliseconds
    */
   int take(int priority, int wanted, int ahead, double share, long nowMs) {
     refill(share, nowMs);
-    noteAsked(priority, nowMs);
+    recordRequest(priority, nowMs);
     int granted = Math.min(wanted, available(threshold(priority)));
     tokens -= granted;
-    int more = granted < wanted ? 0 : Math.min(ahead, available(1 + capacity() / 2));
-    tokens -= more;
-    return granted + more;
+    int prefetched = granted < wanted ? 0 : Math.min(ahead, available(1 + capacity() / 2));
+    tokens -= prefetched;
+    return granted + prefetched;
   }
 
-  /** Returns after what time a request of a priority may be sent; milliseconds, at least 1. */
+  /** Returns when a request of a priority may be sent; milliseconds from now, at least 1. */
   long waitMs(int priority, double share) {
     double missing = threshold(priority) - tokens;
-    return Math.max(1, (long) Math.ceil(missing * tokenMs(share)));
+    return Math.max(1, (long) Math.ceil(missing * tokenIntervalMs(share)));
   }
 
-  /** Returns the time in which one token comes in; milliseconds. */
-  double tokenMs(double share) {
+  /** Returns the time between two new tokens; milliseconds. */
+  double tokenIntervalMs(double share) {
     return MS_PER_S / (perS * share);
   }
 
   private int available(double threshold) {
-    return (int) Math.max(0, Math.floor(tokens - threshold + 1 + ROUNDING));
+    return (int) Math.max(0, Math.floor(tokens - threshold + 1 + ROUNDING_TOLERANCE));
   }
 
-  /** The most urgent priority needs one token; the least urgent one a full bucket. */
+  /**
+   * Returns the required fill level: one token for the most urgent priority, full for the least.
+   */
   private double threshold(int priority) {
-    int before = 0;
-    for (int asking : askedMsByPriority.keySet()) {
-      before += asking < priority ? 1 : 0;
+    int moreUrgent = 0;
+    for (int active : requestedMsByPriority.keySet()) {
+      moreUrgent += active < priority ? 1 : 0;
     }
-    if (before == 0) {
+    if (moreUrgent == 0) {
       return 1;
     }
-    return 1 + (capacity() - 1) * before / (askedMsByPriority.size() - 1);
+    return 1 + (capacity() - 1) * moreUrgent / (requestedMsByPriority.size() - 1);
   }
 
   private double capacity() {
-    return 1 + Math.max(LEAST_SAVED, perS * SAVED_S);
+    return 1 + Math.max(MIN_BURST, perS * BURST_S);
   }
 
-  private void noteAsked(int priority, long nowMs) {
-    double askingMs = Math.max(ASKING_MS, 2 * MS_PER_S / perS);
-    askedMsByPriority.values().removeIf(askedMs -> nowMs - askedMs > askingMs);
-    if (askedMsByPriority.size() < MOST_PRIORITIES || askedMsByPriority.containsKey(priority)) {
-      askedMsByPriority.put(priority, nowMs);
+  private void recordRequest(int priority, long nowMs) {
+    double activeMs = Math.max(ACTIVE_MS, 2 * MS_PER_S / perS);
+    requestedMsByPriority.values().removeIf(requestedMs -> nowMs - requestedMs > activeMs);
+    if (requestedMsByPriority.size() < MAX_PRIORITIES
+        || requestedMsByPriority.containsKey(priority)) {
+      requestedMsByPriority.put(priority, nowMs);
     }
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/QuotaGrant.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/QuotaGrant.java
@@ -1,12 +1,12 @@
 package io.cuminvalve.core.quota;
 
 /**
- * Answers a gateway that asked how many requests it may send to a target.
+ * The answer to a gateway that requested tokens for a target.
  *
- * @param count how many it may send, at once; at least 0
- * @param waitMs if they are fewer than it asked for, when to ask again; else 0; milliseconds
- * @param spacingMs the time after which one gateway gets one more, while all that asked lately go
- *     on asking; milliseconds
+ * @param count the number of requests that it may send now; at least 0
+ * @param waitMs when to ask again if this is fewer than requested, else 0; milliseconds
+ * @param spacingMs the expected time between two tokens of one gateway while all recently active
+ *     gateways keep asking; milliseconds
  * @since 0.2
  */
 public record QuotaGrant(int count, long waitMs, long spacingMs) {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/TargetLimitTracker.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/TargetLimitTracker.java
@@ -11,84 +11,85 @@
 import java.util.function.Predicate;
 
 /**
- * Remembers which targets name a limit: for each run the newest that any gateway was told.
+ * Tracks the rate limits that targets state in their answers. Keeps the newest limit of each
+ * incarnation of a target that any gateway has received.
  *
- * <p>A limit ends with an answer that names none, if the request of that answer was sent after the
- * limit had been heard of: any earlier one may have been answered before the limit began. Times are
- * those of the clock of this process. Not safe for use by several threads.
+ * <p>An answer without a limit ends the limit only if its request was sent after the limit became
+ * known, since an earlier request may have been answered before the limit began. All times are from
+ * the clock of this process. Not thread-safe.
  *
  * @since 0.2
  */
 public final class TargetLimitTracker {
 
-  /** Bounds the memory to some 100 KB, also if every target of a large fleet names a limit. */
-  static final int MOST_TARGETS = 1_024;
+  /** Bounds the memory to about 100 KB, even if every target of a large fleet has a limit. */
+  static final int MAX_TARGETS = 1_024;
 
   /**
-   * For how long a run that is not registered is remembered: entries are missing while the registry
-   * is away, and the run still counts what it gets.
+   * How long the limit of an unregistered incarnation is kept. Entries are missing while the
+   * registry is unavailable, and the incarnation still counts the requests that it receives.
    */
   static final long UNREGISTERED_MS = 60_000;
 
-  /** Smaller changes of a limit are ignored, so that processes know the same number. */
-  private static final double NOTABLE_CHANGE = 0.01;
+  /** Smaller changes of a limit are ignored, so that all processes use the same value. */
+  private static final double MIN_RELATIVE_CHANGE = 0.01;
 
-  private final Map<TargetId, Known> byTarget = new HashMap<>();
+  private final Map<TargetId, Observation> byTarget = new HashMap<>();
 
   /**
-   * Notes that an answer named a limit.
+   * Records an answer with a limit.
    *
-   * @param target the run of the target; not null
-   * @param perS requests a second; at least 0
-   * @param nowMs the time; milliseconds
-   * @return whether that is news
+   * @param target the incarnation of the target; not null
+   * @param perS requests per second; at least 0
+   * @param nowMs the current time in milliseconds
+   * @return whether the limit changed
    */
   public boolean onNamed(TargetId target, double perS, long nowMs) {
-    Known known = byTarget.get(target);
-    Known named = new Known(perS, nowMs);
+    Observation known = byTarget.get(target);
+    Observation named = new Observation(perS, nowMs);
     boolean same = known != null && !known.differsFrom(named);
-    return take(target, same ? new Known(known.perS, nowMs) : named);
+    return update(target, same ? new Observation(known.perS, nowMs) : named);
   }
 
   /**
-   * Notes that an answer named no limit.
+   * Records an answer without a limit.
    *
-   * @param target the run of the target; not null
-   * @param sentMs when its request was sent; a time of the clock; milliseconds
-   * @param nowMs the time; milliseconds
-   * @return whether that is news
+   * @param target the incarnation of the target; not null
+   * @param sentMs when its request was sent; clock time in milliseconds
+   * @param nowMs the current time in milliseconds
+   * @return whether the limit changed
    */
   public boolean onNotNamed(TargetId target, long sentMs, long nowMs) {
-    Known known = byTarget.get(target);
+    Observation known = byTarget.get(target);
     boolean ends = known != null && known.isLimited() && sentMs > known.atMs;
-    return ends && take(target, new Known(LimitReport.NONE, nowMs));
+    return ends && update(target, new Observation(LimitReport.NONE, nowMs));
   }
 
   /**
-   * Takes what another process knows.
+   * Merges a report of another process.
    *
-   * @param report what it knows; not null
-   * @param nowMs the time; milliseconds
-   * @return whether that is news
+   * @param report the report; not null
+   * @param nowMs the current time in milliseconds
+   * @return whether the limit changed
    */
   public boolean merge(LimitReport report, long nowMs) {
-    return take(report.target(), new Known(report.perS(), nowMs - report.ageMs()));
+    return update(report.target(), new Observation(report.perS(), nowMs - report.ageMs()));
   }
 
-  private boolean take(TargetId target, Known heard) {
-    Known known = byTarget.get(target);
-    if (known != null && heard.atMs < known.atMs) {
+  private boolean update(TargetId target, Observation observed) {
+    Observation known = byTarget.get(target);
+    if (known != null && observed.atMs < known.atMs) {
       return false;
     }
-    byTarget.put(target, heard);
-    dropOldest();
-    return known == null ? heard.isLimited() : known.differsFrom(heard);
+    byTarget.put(target, observed);
+    evictIfFull();
+    return known == null ? observed.isLimited() : known.differsFrom(observed);
   }
 
-  private void dropOldest() {
-    if (byTarget.size() > MOST_TARGETS) {
+  private void evictIfFull() {
+    if (byTarget.size() > MAX_TARGETS) {
       byTarget.entrySet().stream()
-          .min(Comparator.comparing(Map.Entry::getValue, LEAST_NEEDED))
+          .min(Comparator.comparing(Map.Entry::getValue, EVICTION_ORDER))
           .ifPresent(entry -> byTarget.remove(entry.getKey()));
     }
   }
@@ -96,11 +97,11 @@
   /**
    * Returns the limit of a target.
    *
-   * @param target the run of the target; not null
-   * @return requests a second; empty if it names none
+   * @param target the incarnation of the target; not null
+   * @return requests per second; empty if it has no limit
    */
   public OptionalDouble limitOf(TargetId target) {
-    Known known = byTarget.get(target);
+    Observation known = byTarget.get(target);
     return known == null || !known.isLimited()
         ? OptionalDouble.empty()
         : OptionalDouble.of(known.perS);
@@ -109,7 +110,7 @@
   /**
    * Returns all limits.
    *
-   * @return requests a second by target; never null
+   * @return requests per second by target; never null
    */
   public Map<TargetId, Double> limits() {
     Map<TargetId, Double> limits = new HashMap<>();
@@ -123,16 +124,16 @@
   }
 
   /**
-   * Returns what is known of some targets, also that they name no limit any more.
+   * Returns reports of the given targets, including those whose limit has ended.
    *
-   * @param targets which ones; not null
-   * @param nowMs the time; milliseconds
-   * @return one report for each that named a limit; never null
+   * @param targets the targets; not null
+   * @param nowMs the current time in milliseconds
+   * @return one report for each target with a current or ended limit; never null
    */
   public List<LimitReport> reports(Collection<TargetId> targets, long nowMs) {
     List<LimitReport> reports = new ArrayList<>();
     for (TargetId target : targets) {
-      Known known = byTarget.get(target);
+      Observation known = byTarget.get(target);
       if (known != null) {
         reports.add(new LimitReport(target, known.perS, nowMs - known.atMs));
       }
@@ -141,7 +142,7 @@
   }
 
   /**
-   * Returns the targets of which something is known.
+   * Returns the targets with a current or ended limit.
    *
    * @return a copy; never null
    */
@@ -150,9 +151,9 @@
   }
 
   /**
-   * Returns the limits in short, so that two processes can tell whether they know the same.
+   * Returns a digest of all limits, by which two processes can compare what they know.
    *
-   * @return 0 if there is none
+   * @return the digest; 0 if there are no limits
    */
   public long digest() {
     long digest = 0;
@@ -163,10 +164,11 @@
   }
 
   /**
-   * Forgets targets that are gone, and old news that a limit has ended.
+   * Removes targets that are no longer registered and limits that have ended, after {@link
+   * #UNREGISTERED_MS}.
    *
-   * @param registered tells which targets are registered; not null
-   * @param nowMs the time; milliseconds
+   * @param registered returns whether a target is registered; not null
+   * @param nowMs the current time in milliseconds
    */
   public void forget(Predicate<TargetId> registered, long nowMs) {
     byTarget
@@ -178,19 +180,19 @@
             });
   }
 
-  private static final Comparator<Known> LEAST_NEEDED =
-      Comparator.comparing(Known::isLimited).thenComparingLong(Known::atMs);
+  private static final Comparator<Observation> EVICTION_ORDER =
+      Comparator.comparing(Observation::isLimited).thenComparingLong(Observation::atMs);
 
   /** The newest observation of one target. */
-  private record Known(double perS, long atMs) {
+  private record Observation(double perS, long atMs) {
 
     boolean isLimited() {
       return perS >= 0;
     }
 
-    boolean differsFrom(Known other) {
+    boolean differsFrom(Observation other) {
       return isLimited() != other.isLimited()
-          || Math.abs(perS - other.perS) > NOTABLE_CHANGE * perS;
+          || Math.abs(perS - other.perS) > MIN_RELATIVE_CHANGE * perS;
     }
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quota/package-info.java
@@ -1,2 +1,2 @@
-/** Limits that targets name for all gateways together, and the parts of them that gateways get. */
+/** Rate limits that targets set for all gateways together, and their division among gateways. */
 package io.cuminvalve.core.quota;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/quota/LocalQuotaTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/quota/LocalQuotaTest.java
@@ -16,100 +16,100 @@
   private static final int LATER = 2;
   private static final long WINDOW_MS = 4_000;
 
-  private final LocalQuota share = new LocalQuota(2, new Random(1));
+  private final LocalQuota quota = new LocalQuota(2, new Random(1));
 
   @Test
-  void theIssuerIsAskedOnceAtTheSameTime() {
-    assertThat(share.take(URGENT, 8, 0)).isEqualTo(Decision.ASK);
-    assertThat(share.take(URGENT, 8, 1)).isEqualTo(Decision.WAIT);
-    share.onGrant(URGENT, new QuotaGrant(1, 0, 500), 5);
-    assertThat(share.take(URGENT, 8, 5)).isEqualTo(Decision.TAKEN);
-    assertThat(share.take(URGENT, 8, 5)).isEqualTo(Decision.ASK);
+  void onlyOneRequestToIssuerIsPending() {
+    assertThat(quota.take(URGENT, 8, 0)).isEqualTo(Decision.ASK);
+    assertThat(quota.take(URGENT, 8, 1)).isEqualTo(Decision.WAIT);
+    quota.onGrant(URGENT, new QuotaGrant(1, 0, 500), 5);
+    assertThat(quota.take(URGENT, 8, 5)).isEqualTo(Decision.TAKEN);
+    assertThat(quota.take(URGENT, 8, 5)).isEqualTo(Decision.ASK);
   }
 
   @Test
-  void requestsAreRefusedUntilTheTimeThatTheIssuerNames() {
-    share.take(LATER, 8, 0);
-    share.onGrant(LATER, new QuotaGrant(0, 700, 500), 10);
-    assertThat(share.take(LATER, 8, 10)).isEqualTo(Decision.REFUSED);
-    assertThat(share.refusedForMs(LATER, 300).getAsLong()).isEqualTo(410);
-    assertThat(share.take(LATER, 8, 710)).isEqualTo(Decision.ASK);
+  void requestsAreRefusedUntilTimeGivenByIssuer() {
+    quota.take(LATER, 8, 0);
+    quota.onGrant(LATER, new QuotaGrant(0, 700, 500), 10);
+    assertThat(quota.take(LATER, 8, 10)).isEqualTo(Decision.REFUSED);
+    assertThat(quota.refusedForMs(LATER, 300).getAsLong()).isEqualTo(410);
+    assertThat(quota.take(LATER, 8, 710)).isEqualTo(Decision.ASK);
   }
 
   @Test
-  void callersAreToldToComeOneAfterTheOther() {
-    share.take(LATER, 8, 0);
-    share.onGrant(LATER, new QuotaGrant(0, 700, 500), 10);
-    assertThat(share.nextRetryAfterMs(LATER, 10)).isEqualTo(700);
-    assertThat(share.nextRetryAfterMs(LATER, 10)).isEqualTo(1_200);
-    assertThat(share.nextRetryAfterMs(LATER, 110)).isEqualTo(1_600);
+  void successiveCallersGetLaterRetryTimes() {
+    quota.take(LATER, 8, 0);
+    quota.onGrant(LATER, new QuotaGrant(0, 700, 500), 10);
+    assertThat(quota.nextRetryAfterMs(LATER, 10)).isEqualTo(700);
+    assertThat(quota.nextRetryAfterMs(LATER, 10)).isEqualTo(1_200);
+    assertThat(quota.nextRetryAfterMs(LATER, 110)).isEqualTo(1_600);
     for (int i = 0; i < 50; i++) {
-      assertThat(share.nextRetryAfterMs(LATER, 110)).isAtMost(LocalQuota.LONGEST_WAIT_MS);
+      assertThat(quota.nextRetryAfterMs(LATER, 110)).isAtMost(LocalQuota.MAX_WAIT_MS);
     }
   }
 
   @Test
-  void whatWasGrantedForUrgentRequestsIsNotForOthers() {
-    share.take(URGENT, 8, 0);
-    share.onGrant(URGENT, new QuotaGrant(1, 0, 500), 5);
-    assertThat(share.take(LATER, 8, 6)).isEqualTo(Decision.ASK);
-    assertThat(share.take(URGENT, 8, 7)).isEqualTo(Decision.TAKEN);
-    share.onGrant(LATER, new QuotaGrant(1, 0, 500), 8);
-    assertThat(share.take(URGENT, 8, 9)).isEqualTo(Decision.TAKEN);
+  void tokensForUrgentRequestsAreNotUsedForOthers() {
+    quota.take(URGENT, 8, 0);
+    quota.onGrant(URGENT, new QuotaGrant(1, 0, 500), 5);
+    assertThat(quota.take(LATER, 8, 6)).isEqualTo(Decision.ASK);
+    assertThat(quota.take(URGENT, 8, 7)).isEqualTo(Decision.TAKEN);
+    quota.onGrant(LATER, new QuotaGrant(1, 0, 500), 8);
+    assertThat(quota.take(URGENT, 8, 9)).isEqualTo(Decision.TAKEN);
   }
 
   @Test
-  void grantsThatAreNotUsedRunOut() {
-    share.take(URGENT, 8, 0);
-    share.onGrant(URGENT, new QuotaGrant(1, 0, 500), 5);
-    assertThat(share.take(URGENT, 8, LocalQuota.GRANT_MS)).isEqualTo(Decision.ASK);
+  void unusedTokensExpire() {
+    quota.take(URGENT, 8, 0);
+    quota.onGrant(URGENT, new QuotaGrant(1, 0, 500), 5);
+    assertThat(quota.take(URGENT, 8, LocalQuota.TOKEN_LIFETIME_MS)).isEqualTo(Decision.ASK);
   }
 
   @Test
-  void anIssuerThatDoesNotAnswerIsAskedAtPauses() {
-    int questions = 0;
+  void unresponsiveIssuerIsAskedAtIntervals() {
+    int issuerRequests = 0;
     for (long nowMs = 0; nowMs < 10_000; nowMs += 10) {
-      questions += share.take(URGENT, 1_000_000, nowMs) == Decision.ASK ? 1 : 0;
+      issuerRequests += quota.take(URGENT, 1_000_000, nowMs) == Decision.ASK ? 1 : 0;
     }
-    assertThat(questions).isAtMost(23);
-    assertThat(questions).isAtLeast(15);
-    assertThat(share.isIssuerUnreachable()).isTrue();
-    assertThat(share.refusedForMs(URGENT, 10_000).isPresent()).isTrue();
-    share.onGrant(URGENT, new QuotaGrant(1, 0, 500), 10_000);
-    assertThat(share.isIssuerUnreachable()).isFalse();
+    assertThat(issuerRequests).isAtMost(23);
+    assertThat(issuerRequests).isAtLeast(15);
+    assertThat(quota.isIssuerUnreachable()).isTrue();
+    assertThat(quota.refusedForMs(URGENT, 10_000).isPresent()).isTrue();
+    quota.onGrant(URGENT, new QuotaGrant(1, 0, 500), 10_000);
+    assertThat(quota.isIssuerUnreachable()).isFalse();
   }
 
-  /** Nobody hears anybody: the parts of all gateways add up to less than the limit. */
+  /** No gateway reaches an issuer: their fallback shares add up to less than the limit. */
   @ParameterizedTest
   @CsvSource({"0.2, 8", "2, 8", "2, 95", "20, 8", "20, 95", "200, 30"})
-  void gatewaysThatHearNobodyExceedTheLimitTogetherNever(double perS, int gateways) {
+  void gatewaysWithoutIssuerStayWithinLimitTogether(double perS, int gateways) {
     for (int seed = 0; seed < 10; seed++) {
       Random random = new Random(seed);
-      List<LocalQuota> shares = new ArrayList<>();
+      List<LocalQuota> quotas = new ArrayList<>();
       for (int i = 0; i < gateways; i++) {
-        shares.add(new LocalQuota(perS, new Random(random.nextLong())));
+        quotas.add(new LocalQuota(perS, new Random(random.nextLong())));
       }
       List<Long> sent = new ArrayList<>();
       for (long nowMs = 0; nowMs < 30_000; nowMs += 5) {
-        for (LocalQuota one : shares) {
-          if (one.take(URGENT, gateways, nowMs) == Decision.TAKEN) {
+        for (LocalQuota each : quotas) {
+          if (each.take(URGENT, gateways, nowMs) == Decision.TAKEN) {
             sent.add(nowMs);
           }
         }
       }
-      assertThat((double) mostIn(sent)).isAtMost(1.5 * perS * WINDOW_MS / 1_000 + 5);
+      assertThat((double) maxSentInWindow(sent)).isAtMost(1.5 * perS * WINDOW_MS / 1_000 + 5);
     }
   }
 
-  private static int mostIn(List<Long> sent) {
-    int most = 0;
+  private static int maxSentInWindow(List<Long> sent) {
+    int max = 0;
     int first = 0;
     for (int last = 0; last < sent.size(); last++) {
       while (sent.get(last) - sent.get(first) > WINDOW_MS) {
         first++;
       }
-      most = Math.max(most, last - first + 1);
+      max = Math.max(max, last - first + 1);
     }
-    return most;
+    return max;
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/quota/QuotaIssuerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/quota/QuotaIssuerTest.java
@@ -20,27 +20,27 @@
   private final QuotaIssuer issuer = new QuotaIssuer();
 
   @Test
-  void nothingIsKnownOfOtherTargets() {
+  void targetWithoutLimitGetsNoGrant() {
     assertThat(issuer.ask("a", TARGET, URGENT, 1, 0, 0)).isEqualTo(Optional.empty());
   }
 
-  /** The saved part is at most what comes in half a second, and two requests. */
+  /** The bucket holds at most the tokens of half a second plus two tokens. */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 0.7, 2, 20, 300})
-  void noMoreIsGivenOutThanTheLimitWhoeverAsks(double perS) {
+  void tokensStayWithinLimitForAnySequenceOfGateways(double perS) {
     issuer.setLimits(Map.of(TARGET, perS), 0);
     Random random = new Random(7);
-    long given = 0;
+    long granted = 0;
     for (long nowMs = 0; nowMs < 100_000; nowMs += 1 + random.nextInt(3)) {
       String gateway = "gateway-" + random.nextInt(8);
-      given += ask(gateway, 1 + random.nextInt(3), nowMs, random.nextInt(4)).count();
+      granted += ask(gateway, 1 + random.nextInt(3), nowMs, random.nextInt(4)).count();
     }
-    assertThat((double) given).isAtMost(100 * perS + 2 + 0.5 * perS);
-    assertThat((double) given).isAtLeast(0.95 * 100 * perS - 1);
+    assertThat((double) granted).isAtMost(100 * perS + 2 + 0.5 * perS);
+    assertThat((double) granted).isAtLeast(0.95 * 100 * perS - 1);
   }
 
   @Test
-  void requestsWithinTheLimitAllGetTheirs() {
+  void requestsWithinLimitAllGetTokens() {
     issuer.setLimits(Map.of(TARGET, 0.5), 0);
     for (long nowMs = 4_000; nowMs < HOUR_MS; nowMs += 2_100) {
       assertThat(ask("gateway-" + nowMs % 7, LATER, nowMs, 0).count()).isEqualTo(1);
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void theMostUrgentComeFirstAndTheOthersGetTheRest() {
+  void urgentRequestsComeFirstAndOthersGetTheRest() {
     issuer.setLimits(Map.of(TARGET, 4.0), 0);
     int urgent = 0;
     int later = 0;
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void whoIsRefusedIsToldWhenThereIsMore() {
+  void refusalStatesWhenNextTokenIsAvailable() {
     issuer.setLimits(Map.of(TARGET, 0.5), 0);
     QuotaGrant refused = ask("a", URGENT, 500, 0);
     assertThat(refused.count()).isEqualTo(0);
@@ -73,31 +73,31 @@
   }
 
   @Test
-  void partsOfTheFleetGetTheirParts() {
+  void partOfFleetGetsItsShareOfLimit() {
     issuer.setLimits(Map.of(TARGET, 10.0), 0);
     issuer.setShare(2, 8);
-    long given = 0;
+    long granted = 0;
     for (long nowMs = 0; nowMs < 100_000; nowMs += 50) {
-      given += ask("a", URGENT, nowMs, 0).count();
+      granted += ask("a", URGENT, nowMs, 0).count();
     }
-    assertThat(given).isAtMost(256);
-    assertThat(given).isAtLeast(248);
+    assertThat(granted).isAtMost(256);
+    assertThat(granted).isAtLeast(248);
   }
 
   @Test
-  void moreIsGivenAheadOnlyWhileThereIsPlenty() {
+  void tokensAreGrantedAheadOnlyFromWellFilledBucket() {
     issuer.setLimits(Map.of(TARGET, 40.0), 0);
     assertThat(ask("a", URGENT, 10_000, 4).count()).isEqualTo(5);
-    int given = 0;
+    int granted = 0;
     for (int i = 0; i < 30; i++) {
-      given += ask("b", URGENT, 10_000, 0).count();
+      granted += ask("b", URGENT, 10_000, 0).count();
     }
-    assertThat(given).isEqualTo(16);
+    assertThat(granted).isEqualTo(16);
     assertThat(ask("a", URGENT, 10_025, 4).count()).isEqualTo(1);
   }
 
   @Test
-  void endedLimitsAreForgotten() {
+  void endedLimitsAreRemoved() {
     issuer.setLimits(Map.of(TARGET, 2.0), 0);
     issuer.setLimits(Map.of(), 10);
     assertThat(issuer.ask("a", TARGET, URGENT, 1, 0, 20)).isEqualTo(Optional.empty());
