--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestEffect.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestEffect.java
@@ -4,31 +4,35 @@
 import io.cuminvalve.core.verdict.Verdict;
 
 /**
- * What the router has to do for a request. Effects of one event are carried out in their order.
+ * An action that the router must carry out for a request. The effects of one event are carried out
+ * in order.
  *
  * @since 0.1
  */
 public sealed interface RequestEffect {
 
-  /** Make other routers know of the operation; answer with an intent event. */
+  /**
+   * Claim the operation at the routers that track it; the result is reported as an intent event.
+   */
   record ClaimIntent() implements RequestEffect {}
 
   /**
-   * Tell the routers that know of the operation how it ended.
+   * Notify the routers that track the operation how it ended.
    *
-   * @param verdict NOT_RUN frees the idempotency key for a resend; not null
+   * @param verdict the result; NOT_RUN releases the idempotency key for a resend; not null
    */
   record SettleIntent(Verdict verdict) implements RequestEffect {}
 
   /**
-   * Find the owner of the shard and get a slot there; answer with an admission event.
+   * Find the owner of the shard and acquire a slot there; the result is reported as an admission
+   * event.
    *
    * @param attempt the number of the attempt, from 1
    */
   record Admit(int attempt) implements RequestEffect {}
 
   /**
-   * Give up waiting for a slot.
+   * Withdraw the request for a slot.
    *
    * @param attempt the number of the attempt
    */
@@ -42,7 +46,7 @@
   record Dispatch(int attempt) implements RequestEffect {}
 
   /**
-   * Return the slot: nothing of this attempt is in flight any more.
+   * Return the slot; no part of this attempt is in flight any more.
    *
    * @param attempt the number of the attempt
    * @param use how the slot was used; not null
@@ -50,9 +54,9 @@
   record ReleaseSlot(int attempt, SlotUse use) implements RequestEffect {}
 
   /**
-   * Close the connection of the attempt, never reuse it, ask the target to cancel the request, and
-   * report with {@link RequestStateMachine#onAttemptClosed} when that is done or has timed out. The
-   * slot stays taken until then.
+   * Close the connection of the attempt without reusing it, ask the target to cancel the request,
+   * and call {@link RequestStateMachine#onAttemptClosed} when that is done or has timed out. The
+   * slot stays in use until then.
    *
    * @param attempt the number of the attempt
    */
@@ -66,23 +70,23 @@
   record RetryAfter(long delayMs) implements RequestEffect {}
 
   /**
-   * Relay the head of the answer and then its body as it comes.
+   * Relay the head of the answer, then stream its body.
    *
    * @param attempt the number of the attempt
    */
   record RelayHead(int attempt) implements RequestEffect {}
 
   /**
-   * Drop what came for an attempt that was given up, and count it.
+   * Discard and count an answer to an abandoned attempt.
    *
    * @param attempt the number of the attempt
    */
   record DropAnswer(int attempt) implements RequestEffect {}
 
   /**
-   * End the request towards its caller. Comes exactly once.
+   * End the request towards its caller. Occurs exactly once per request.
    *
-   * @param outcome what the caller sees; ABORTED: break the connection; not null
+   * @param outcome the outcome for the caller; ABORTED means to break the connection; not null
    */
   record Finish(Outcome outcome) implements RequestEffect {}
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestState.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestState.java
@@ -6,20 +6,20 @@
  * @since 0.1
  */
 public enum RequestState {
-  /** Created, not started. */
+  /** Created but not started. */
   NEW,
-  /** Waits until other routers know of it. */
+  /** Waiting for its claim to be recorded at other routers. */
   CLAIMING,
-  /** Waits for an open shard and a slot of its target. */
+  /** Waiting for an open shard and a slot of its target. */
   WAITING,
-  /** Has a slot; no byte was handed to a connection. */
+  /** Holds a slot; no byte was handed to a connection. */
   CONNECTING,
   /** At least one byte was handed to a connection; no answer yet. */
   SENT,
   /** The head of the answer was relayed to the caller. */
   ANSWERING,
-  /** Waits before its next attempt. */
+  /** Waiting before its next attempt. */
   BACKING_OFF,
-  /** Has its outcome. */
+  /** Ended with an outcome. */
   ENDED
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestStateMachine.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestStateMachine.java
@@ -20,33 +20,33 @@
 import java.util.List;
 
 /**
- * The life of one request at one router, from its arrival to its single outcome.
+ * The state machine of one request at one router, from its arrival to its single outcome.
  *
- * <p>Rules that it keeps:
+ * <p>Invariants:
  *
  * <ul>
- *   <li>NOT_RUN is said only if no byte of any attempt was handed to a connection, except of
- *       attempts that the target refused in the way defined as before running.
- *   <li>A request with an idempotency key that is not idempotent is never told NOT_RUN before its
- *       claim is granted: an earlier request with the same key may have run.
- *   <li>An attempt that may have run is followed by another only if the request is idempotent.
- *   <li>Once the head of an answer was relayed, the request ends with the whole answer or with an
- *       aborted connection.
- *   <li>What comes for an attempt that was given up is dropped.
- *   <li>A slot is returned only when nothing of its attempt is in flight.
+ *   <li>The verdict is NOT_RUN only if no byte of any attempt was handed to a connection, except
+ *       for attempts that the target refused in a way that is defined as a refusal before running.
+ *   <li>A request that is not idempotent and has an idempotency key never gets the verdict NOT_RUN
+ *       before its claim is granted, because an earlier request with the same key may have run.
+ *   <li>An attempt that may have run is retried only if the request is idempotent.
+ *   <li>Once the head of an answer was relayed, the request ends with the complete answer or with
+ *       an aborted connection.
+ *   <li>Answers to abandoned attempts are discarded.
+ *   <li>A slot is returned only when no part of its attempt is in flight.
  * </ul>
  *
- * <p>Events of one request must not run concurrently; the machine holds no lock. Events that no
- * longer concern it return no effects.
+ * <p>Not thread-safe: the caller serialises the events of one request. Events that are not valid in
+ * the current state return no effects.
  *
  * @since 0.1
  */
 public final class RequestStateMachine {
 
-  private static final List<RequestEffect> NOTHING = List.of();
+  private static final List<RequestEffect> NO_EFFECTS = List.of();
 
   private final RequestProfile profile;
-  private final RetryPolicy retryDecider;
+  private final RetryPolicy retryPolicy;
   private RequestState state = RequestState.NEW;
   private int attempt;
 
@@ -58,28 +58,28 @@
 
   private boolean bodyReplayable;
 
-  /** The attempt that was given up and still holds its slot; 0 if there is none. */
+  /** The abandoned attempt that still holds its slot; 0 if there is none. */
   private int closingAttempt;
 
   private SlotUse closingUse = SlotUse.ABANDONED;
 
   /**
-   * Creates the machine of a request that has just arrived.
+   * Creates the state machine of a request that has just arrived.
    *
-   * @param profile what it has to know of the request; not null
-   * @param retryDecider decides on further attempts; not null
+   * @param profile the relevant properties of the request; not null
+   * @param retryPolicy decides on retries; not null
    */
-  public RequestStateMachine(RequestProfile profile, RetryPolicy retryDecider) {
+  public RequestStateMachine(RequestProfile profile, RetryPolicy retryPolicy) {
     this.profile = profile;
-    this.retryDecider = retryDecider;
+    this.retryPolicy = retryPolicy;
     this.bodyReplayable = profile.bodyReplayable();
     this.earlierMayHaveRun = profile.claimed();
   }
 
   /**
-   * Returns the state.
+   * Returns the current state.
    *
-   * @return never null
+   * @return the state; never null
    */
   public RequestState state() {
     return state;
@@ -88,7 +88,7 @@
   /**
    * Returns the number of the current attempt.
    *
-   * @return 0 before the first
+   * @return the number; 0 before the first attempt
    */
   public int attempt() {
     return attempt;
@@ -98,7 +98,7 @@
    * Starts the request.
    *
    * @param nowMs the current time in milliseconds
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> start(long nowMs) {
     if (nowMs >= profile.deadlineMs()) {
@@ -112,42 +112,42 @@
   }
 
   /**
-   * The routers that have to know of the operation know of it.
+   * Handles the grant of the claim: the routers that track the operation have recorded it.
    *
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onIntentGranted() {
     if (state != RequestState.CLAIMING) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     earlierMayHaveRun = false;
     return nextAttempt();
   }
 
   /**
-   * The operation must not be sent: an earlier request has the idempotency key, or the routers that
-   * have to know of it do not answer.
+   * Handles the refusal of the claim: an earlier request has the same idempotency key, or the
+   * routers that track the operation do not answer.
    *
    * @param earlier whether the operation of the key may have run; not null
-   * @param reason the reason told to the caller; not null
-   * @param retryAfterMs when to come back; milliseconds
-   * @return effects
+   * @param reason the reason reported to the caller; not null
+   * @param retryAfterMs when to retry; milliseconds
+   * @return the effects; never null
    */
   public List<RequestEffect> onIntentRefused(
       Verdict earlier, RefusalReason reason, long retryAfterMs) {
     if (state != RequestState.CLAIMING) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     state = RequestState.ENDED;
     return List.of(new Finish(Outcome.refused(earlier, reason, retryAfterMs)));
   }
 
   /**
-   * The request has a slot of the target that owns its shard.
+   * Handles the grant of a slot of the target that owns the shard.
    *
    * @param admitted the number of the attempt
    * @param nowMs the current time in milliseconds
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onAdmitted(int admitted, long nowMs) {
     if (state != RequestState.WAITING || admitted != attempt) {
@@ -163,45 +163,45 @@
   }
 
   /**
-   * The request gets no slot. It is answered at once.
+   * Handles the refusal of a slot; the request ends immediately.
    *
    * @param refused the number of the attempt
-   * @param reason why; not null
-   * @param retryAfterMs when to come back; milliseconds
-   * @return effects
+   * @param reason the reason; not null
+   * @param retryAfterMs when to retry; milliseconds
+   * @return the effects; never null
    */
   public List<RequestEffect> onAdmissionRefused(
       int refused, RefusalReason reason, long retryAfterMs) {
     if (state != RequestState.WAITING || refused != attempt) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     return end(reason, retryAfterMs, new ArrayList<>());
   }
 
   /**
-   * No connection could be made; no byte was handed to one.
+   * Handles a failure to connect; no byte was handed to a connection.
    *
    * @param failed the number of the attempt
    * @param nowMs the current time in milliseconds
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onConnectFailed(int failed, long nowMs) {
     if (isClosing(failed)) {
       return onAttemptClosed(failed);
     }
     if (state != RequestState.CONNECTING || failed != attempt) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     List<RequestEffect> effects = release(failed, SlotUse.NOT_CONNECTED);
     return retryOrEnd(RefusalReason.CONNECT_FAILED, nowMs, effects);
   }
 
   /**
-   * The first byte of the request is about to be handed to a connection.
+   * Called before the first byte of the request is handed to a connection.
    *
    * @param sent the number of the attempt
-   * @return whether the router may go on; false if the attempt was given up meanwhile, so that no
-   *     byte must be handed over
+   * @return whether the router may proceed; false if the attempt was abandoned meanwhile, so that
+   *     no byte may be sent
    */
   public boolean onFirstByte(int sent) {
     if (state != RequestState.CONNECTING || sent != attempt) {
@@ -211,82 +211,84 @@
     return true;
   }
 
-  /** A part of the body was read from the caller and not kept, so it cannot be sent again. */
+  /**
+   * Handles that part of the body was read from the caller without buffering: no resend possible.
+   */
   public void onBodyConsumed() {
     bodyReplayable = false;
   }
 
   /**
-   * The target refused the request before running it.
+   * Handles a refusal by the target before running the request.
    *
    * @param refused the number of the attempt
-   * @param refusal how; not null
+   * @param refusal the kind of refusal; not null
    * @param nowMs the current time in milliseconds
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onTargetRefused(int refused, TargetRefusal refusal, long nowMs) {
     if (isClosing(refused)) {
       return dropAndClose(refused);
     }
     if (state != RequestState.SENT || refused != attempt) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     return retryOrEnd(refusal.reason(), nowMs, release(refused, SlotUse.REFUSED));
   }
 
   /**
-   * The head of the answer was read.
+   * Handles that the head of the answer was read.
    *
    * @param answered the number of the attempt
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onAnswerHead(int answered) {
     if (isClosing(answered)) {
       return List.of(new DropAnswer(answered));
     }
     if (state != RequestState.SENT || answered != attempt) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     state = RequestState.ANSWERING;
     return List.of(new RelayHead(answered));
   }
 
   /**
-   * The answer was read to its end.
+   * Handles that the answer was read completely.
    *
    * @param answered the number of the attempt
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onAnswerEnd(int answered) {
     if (isClosing(answered)) {
       return onAttemptClosed(answered);
     }
     if (state != RequestState.ANSWERING || answered != attempt) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     List<RequestEffect> effects = release(answered, SlotUse.ANSWERED);
     return finish(Outcome.ANSWERED, effects);
   }
 
   /**
-   * The connection broke after the first byte and before the end of the answer.
+   * Handles that the connection broke after the first byte and before the end of the answer.
    *
    * @param cut the number of the attempt
    * @param nowMs the current time in milliseconds
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onAnswerCut(int cut, long nowMs) {
     if (isClosing(cut)) {
       return onAttemptClosed(cut);
     }
     if (cut != attempt) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     if (state == RequestState.ANSWERING) {
       return abort(RefusalReason.ANSWER_CUT, release(cut, SlotUse.BROKEN));
     }
     if (state != RequestState.SENT) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     mayHaveRun = true;
     List<RequestEffect> effects = release(cut, SlotUse.BROKEN);
@@ -296,56 +298,57 @@
   }
 
   /**
-   * The deadline passed.
+   * Handles that the deadline passed.
    *
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onDeadline() {
     return giveUp(RefusalReason.DEADLINE_EXCEEDED, End.REFUSED);
   }
 
   /**
-   * The caller went away.
+   * Handles that the caller disconnected.
    *
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onCallerGone() {
     return giveUp(RefusalReason.CALLER_CANCELLED, End.CALLER_GONE);
   }
 
   /**
-   * The router is stopping: what has not been sent is refused, what is in flight goes on.
+   * Handles that the router is stopping. A request that has not been sent is refused; a request in
+   * flight continues.
    *
-   * @param retryAfterMs when to come back; milliseconds
-   * @return effects
+   * @param retryAfterMs when to retry; milliseconds
+   * @return the effects; never null
    */
   public List<RequestEffect> onRouterStopping(long retryAfterMs) {
     return switch (state) {
       case WAITING -> end(RefusalReason.ROUTER_STOPPING, retryAfterMs, withdraw());
       case CLAIMING, BACKING_OFF ->
           end(RefusalReason.ROUTER_STOPPING, retryAfterMs, new ArrayList<>());
-      default -> NOTHING;
+      default -> NO_EFFECTS;
     };
   }
 
   /**
-   * The delay before the next attempt is over.
+   * Handles the end of the delay before the next attempt.
    *
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onRetryTimer() {
-    return state == RequestState.BACKING_OFF ? nextAttempt() : NOTHING;
+    return state == RequestState.BACKING_OFF ? nextAttempt() : NO_EFFECTS;
   }
 
   /**
-   * An attempt that was given up is over at the target as far as the router can tell.
+   * Handles that an abandoned attempt has ended at the target, as far as the router can tell.
    *
    * @param closed the number of the attempt
-   * @return effects
+   * @return the effects; never null
    */
   public List<RequestEffect> onAttemptClosed(int closed) {
     if (!isClosing(closed)) {
-      return NOTHING;
+      return NO_EFFECTS;
     }
     closingAttempt = 0;
     return List.of(new ReleaseSlot(closed, closingUse));
@@ -370,7 +373,7 @@
       RefusalReason reason, long nowMs, List<RequestEffect> effects) {
     long remainingMs = profile.deadlineMs() - nowMs;
     long delayMs =
-        bodyReplayable ? retryDecider.delayMs(attempt, remainingMs, nowMs) : RetryPolicy.NO_RETRY;
+        bodyReplayable ? retryPolicy.delayMs(attempt, remainingMs, nowMs) : RetryPolicy.NO_RETRY;
     if (delayMs == RetryPolicy.NO_RETRY || delayMs >= remainingMs) {
       return end(reason, RetryDefaults.DEFAULT_RETRY_AFTER_MS, effects);
     }
@@ -390,10 +393,10 @@
       }
       case ANSWERING -> {
         mayHaveRun = true;
-        End visible = end == End.CALLER_GONE ? End.CALLER_GONE : End.ABORTED;
-        yield finish(outcome(visible, reason, 0), abandon(end));
+        End visibleEnd = end == End.CALLER_GONE ? End.CALLER_GONE : End.ABORTED;
+        yield finish(outcome(visibleEnd, reason, 0), abandon(end));
       }
-      case ENDED -> NOTHING;
+      case ENDED -> NO_EFFECTS;
     };
   }
 
@@ -429,9 +432,9 @@
 
   private Outcome outcome(End end, RefusalReason reason, long retryAfterMs) {
     Verdict verdict = mayHaveRun || earlierMayHaveRun ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
-    boolean retry = verdict == Verdict.NOT_RUN || profile.idempotent() || profile.claimed();
-    long leastMs = retry ? RetryDefaults.DEFAULT_RETRY_AFTER_MS : 0;
-    return new Outcome(end, verdict, reason, retryAfterMs > 0 ? retryAfterMs : leastMs);
+    boolean retrySafe = verdict == Verdict.NOT_RUN || profile.idempotent() || profile.claimed();
+    long defaultRetryAfterMs = retrySafe ? RetryDefaults.DEFAULT_RETRY_AFTER_MS : 0;
+    return new Outcome(end, verdict, reason, retryAfterMs > 0 ? retryAfterMs : defaultRetryAfterMs);
   }
 
   private List<RequestEffect> finish(Outcome outcome, List<RequestEffect> effects) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RetryDefaults.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RetryDefaults.java
@@ -1,13 +1,13 @@
 package io.cuminvalve.core.request;
 
 /**
- * Delays that callers are told when nothing better is known.
+ * Default retry delays reported to callers.
  *
  * @since 0.1
  */
 public final class RetryDefaults {
 
-  /** When to come back after a refusal that names no time; milliseconds. */
+  /** When to retry after a refusal that gives no time; milliseconds. */
   public static final long DEFAULT_RETRY_AFTER_MS = 250;
 
   private RetryDefaults() {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RetryPolicy.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RetryPolicy.java
@@ -1,21 +1,21 @@
 package io.cuminvalve.core.request;
 
 /**
- * Decides whether and when an attempt that failed is followed by another.
+ * Decides whether and when to retry after a failed attempt.
  *
  * @since 0.1
  */
 @FunctionalInterface
 public interface RetryPolicy {
 
-  /** Stands for no further attempt. */
+  /** Denotes that there is no further attempt. */
   long NO_RETRY = -1;
 
   /**
-   * Decides on one failed attempt.
+   * Decides on the retry after a failed attempt.
    *
-   * @param failedAttempts how many attempts failed so far, at least 1
-   * @param remainingMs milliseconds left to the deadline
+   * @param failedAttempts the number of failed attempts so far; at least 1
+   * @param remainingMs milliseconds left until the deadline
    * @param nowMs the current time in milliseconds
    * @return the delay in milliseconds, or {@link #NO_RETRY}
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/SlotUse.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/SlotUse.java
@@ -1,23 +1,24 @@
 package io.cuminvalve.core.request;
 
 /**
- * How an attempt used its slot; feeds the measured service time and the circuit of the target.
+ * How an attempt used its slot. Input to the measured service time and to the circuit breaker of
+ * the target.
  *
  * @since 0.1
  */
 public enum SlotUse {
   /** The target answered. */
   ANSWERED,
-  /** The target refused before running. */
+  /** The target refused the request before running it. */
   REFUSED,
   /** No connection could be made. */
   NOT_CONNECTED,
-  /** The connection broke without a whole answer. */
+  /** The connection broke before the answer was complete. */
   BROKEN,
-  /** The router gave the attempt up at the deadline. */
+  /** The router abandoned the attempt at the deadline. */
   ABANDONED,
-  /** It was never used. */
+  /** The slot was not used. */
   UNUSED,
-  /** The caller went away; says nothing of the target. */
+  /** The caller disconnected; not evidence about the target. */
   CANCELLED
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The state machine of one request: what happens at each point at which it can fail, and with which
- * verdict it ends.
+ * The state machine of one request: how it handles a failure at each stage, and with which verdict
+ * it ends.
  */
 package io.cuminvalve.core.request;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/CircuitBreaker.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/CircuitBreaker.java
@@ -4,44 +4,44 @@
 import java.util.OptionalLong;
 
 /**
- * Lets calls to one service through for as long as it answers, and else a single trial call at
- * growing pauses.
+ * A circuit breaker that admits all calls to a service while the service answers, and otherwise one
+ * trial call after each of a series of increasing pauses.
  *
- * <p>Everything in a process that calls the service shares one breaker. So a service that turns a
- * process away gets one call a pause from it, however many parts of the process want something of
- * it. A call that began before the breaker opened says nothing of what came after and is ignored.
- * Thread-safe.
+ * <p>All components of a process that call the service share one breaker. A service that refuses a
+ * process thus gets one call per pause from it, however many components have calls to make. The
+ * result of a call that began before the breaker last opened is ignored, because it says nothing
+ * about the state since then. Thread-safe.
  *
  * @since 0.2
  */
 public final class CircuitBreaker {
 
   /**
-   * A single call that breaks may have met a pooled connection that the other side had closed. The
-   * next one opens another connection.
+   * A single failure may be due to a pooled connection that the other side had closed. The next
+   * call opens a new connection.
    */
   private static final int FAILURES_TO_OPEN = 2;
 
   private final Backoff pauses;
   private boolean open;
-  private long period;
+  private long generation;
   private long trialAtMs;
   private int failures;
 
   /**
    * Creates a closed breaker.
    *
-   * @param pauses how long to wait before each trial; milliseconds; not null
+   * @param pauses the pauses before each trial; milliseconds; not null
    */
   public CircuitBreaker(Backoff pauses) {
     this.pauses = pauses;
   }
 
   /**
-   * Asks for a call.
+   * Requests permission for a call.
    *
-   * @param nowMs the time; milliseconds
-   * @return the number to name when the call has ended; empty if it must not be made
+   * @param nowMs the current time in milliseconds
+   * @return the number to pass in when the call has ended; empty if the call must not be made
    */
   public synchronized OptionalLong begin(long nowMs) {
     if (open) {
@@ -50,16 +50,16 @@
       }
       trialAtMs = nowMs + pauses.nextMs();
     }
-    return OptionalLong.of(period);
+    return OptionalLong.of(generation);
   }
 
   /**
-   * The service answered a call.
+   * Records that the service answered a call.
    *
-   * @param number what {@link #begin} returned
+   * @param number the number returned by {@link #begin}
    */
   public synchronized void onAnswered(long number) {
-    if (number == period) {
+    if (number == generation) {
       open = false;
       failures = 0;
       pauses.reset();
@@ -67,25 +67,25 @@
   }
 
   /**
-   * The service turned a call away.
+   * Records that the service refused a call.
    *
-   * @param number what {@link #begin} returned
-   * @param nowMs the time; milliseconds
+   * @param number the number returned by {@link #begin}
+   * @param nowMs the current time in milliseconds
    */
   public synchronized void onRefused(long number, long nowMs) {
-    if (number == period && !open) {
+    if (number == generation && !open) {
       open(nowMs);
     }
   }
 
   /**
-   * A call got no answer.
+   * Records that a call got no answer.
    *
-   * @param number what {@link #begin} returned
-   * @param nowMs the time; milliseconds
+   * @param number the number returned by {@link #begin}
+   * @param nowMs the current time in milliseconds
    */
   public synchronized void onFailed(long number, long nowMs) {
-    if (number == period && !open) {
+    if (number == generation && !open) {
       failures++;
       if (failures >= FAILURES_TO_OPEN) {
         open(nowMs);
@@ -96,7 +96,7 @@
   private void open(long nowMs) {
     open = true;
     failures = 0;
-    period++;
+    generation++;
     trialAtMs = nowMs + pauses.nextMs();
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/RetryBudget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/RetryBudget.java
@@ -4,11 +4,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Lets a share of the requests be tried again, with exponential backoff and full jitter, inside the
+ * Allows retries for a share of the requests, with exponential backoff and full jitter, within the
  * deadline.
  *
- * <p>Each request adds a share of a token, each retry takes one, so that retries stay a share of
- * the load however many requests fail. Thread-safe.
+ * <p>Each request adds a fraction of a token and each retry takes a token, which bounds retries to
+ * a share of the load however many requests fail. Thread-safe.
  *
  * @since 0.1
  */
@@ -24,7 +24,7 @@
    * Creates a full budget.
    *
    * @param settings limits and times; not null
-   * @param jitter draws from 0 to less than 1; not null
+   * @param jitter supplies random numbers from 0 to less than 1; not null
    */
   public RetryBudget(RetrySettings settings, DoubleSupplier jitter) {
     this.settings = settings;
@@ -32,7 +32,7 @@
     this.tokens = settings.budgetBurst();
   }
 
-  /** Records a new request; its retries do not count. */
+  /** Records a new request. Not called for its retries. */
   public synchronized void onRequest() {
     tokens = Math.min(settings.budgetBurst(), tokens + settings.budgetShare());
   }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/RetrySettings.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/RetrySettings.java
@@ -1,16 +1,17 @@
 package io.cuminvalve.core.retry;
 
 /**
- * Limits and times of retries and circuits.
+ * Limits and times of retries and circuit breakers.
  *
- * @param budgetShare retries per request that the router may send in the long run
- * @param budgetBurst how many retries may be saved up
- * @param baseDelayMs the longest delay before the first retry; doubles with each; milliseconds
+ * @param budgetShare the long-term ratio of retries to requests
+ * @param budgetBurst the maximum number of accumulated retries
+ * @param baseDelayMs the longest delay before the first retry; doubles with each retry;
+ *     milliseconds
  * @param maxDelayMs the longest delay before any retry; milliseconds
- * @param maxAttempts how many attempts a request has at most
- * @param failuresToOpen consecutive failures that open the circuit of a target
+ * @param maxAttempts the maximum number of attempts per request
+ * @param failuresToOpen the number of consecutive failures that opens the circuit of a target
  * @param openMs how long a circuit stays open before a trial; milliseconds
- * @param openShare the share of the targets of a service whose circuits may be open at a time
+ * @param openShare the maximum share of the targets of a service whose circuits are open at a time
  * @since 0.1
  */
 public record RetrySettings(
@@ -23,6 +24,6 @@
     long openMs,
     double openShare) {
 
-  /** One retry for ten requests; circuits of at most a third of the targets. */
+  /** One retry per ten requests; open circuits for at most a third of the targets. */
   public static final RetrySettings DEFAULT = new RetrySettings(0.1, 20, 10, 500, 6, 5, 500, 0.34);
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/SharedRetryBudget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/SharedRetryBudget.java
@@ -1,35 +1,37 @@
 package io.cuminvalve.core.retry;
 
 /**
- * This process's part of a budget for repeats that all processes of the fleet share.
+ * The part of one process in a retry budget that all processes of the fleet share.
  *
- * <p>The fleet may repeat a share of the requests for a service plus a constant number, in any
- * window of a given length. A process may repeat that share of the requests that it has received
- * itself, and its even part of the constant. So the sum over all processes stays within the budget
- * without any message, whatever way the requests are spread. Not safe for use by several threads.
+ * <p>In any window of a given length, the fleet may retry a share of the requests for a service
+ * plus a constant number. Each process may retry that share of the requests that it received
+ * itself, plus an equal part of the constant. The sum over all processes thus stays within the
+ * budget without communication, however the requests are distributed. Not thread-safe.
  *
  * @since 0.2
  */
 public final class SharedRetryBudget {
 
-  /** Into how many parts a window is cut; one more is counted, so that none slips out too early. */
+  /**
+   * The number of slices of a window. One more is counted, so that no retry leaves it too early.
+   */
   private static final int SLICES = 10;
 
-  /** Requests that came up to half a window ago count in full; older ones may have left it. */
+  /** Only requests of the newer half of the window count; older ones may have left the window. */
   private static final int REQUEST_SLICES = SLICES / 2;
 
   private final double share;
   private final double extraPerFleet;
   private final long sliceMs;
   private final int[] requests = new int[SLICES + 1];
-  private final int[] repeats = new int[SLICES + 1];
+  private final int[] retries = new int[SLICES + 1];
   private long slice;
 
   /**
    * Creates a budget.
    *
-   * @param share repeats allowed for each request; 0 to 1
-   * @param extraPerFleet repeats allowed besides in each window, for all processes together
+   * @param share the allowed retries per request; 0 to 1
+   * @param extraPerFleet additional retries allowed in each window for all processes together
    * @param windowMs the length of the window; milliseconds
    */
   public SharedRetryBudget(double share, double extraPerFleet, long windowMs) {
@@ -39,9 +41,9 @@
   }
 
   /**
-   * Counts a request of a caller.
+   * Records a request of a caller.
    *
-   * @param nowMs the time; milliseconds
+   * @param nowMs the current time in milliseconds
    */
   public void onRequest(long nowMs) {
     advance(nowMs);
@@ -49,18 +51,18 @@
   }
 
   /**
-   * Takes one repeat, if the budget allows it.
+   * Takes one retry from the budget if it allows it.
    *
-   * @param processes how many processes share the budget; at least 1
-   * @param nowMs the time; milliseconds
-   * @return false if the request must not be sent again
+   * @param processes the number of processes that share the budget; at least 1
+   * @param nowMs the current time in milliseconds
+   * @return false if the request must not be retried
    */
   public boolean tryRepeat(int processes, long nowMs) {
     advance(nowMs);
     int spent = 0;
     int received = 0;
     for (int i = 0; i <= SLICES; i++) {
-      spent += repeats[i];
+      spent += retries[i];
     }
     for (int age = 0; age <= REQUEST_SLICES; age++) {
       received += requests[index(slice - age)];
@@ -68,7 +70,7 @@
     if (spent + 1 > share * received + extraPerFleet / processes) {
       return false;
     }
-    repeats[index(slice)]++;
+    retries[index(slice)]++;
     return true;
   }
 
@@ -78,7 +80,7 @@
     for (long i = 0; i < stale; i++) {
       int index = index(now - i);
       requests[index] = 0;
-      repeats[index] = 0;
+      retries[index] = 0;
     }
     slice = Math.max(slice, now);
   }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/TargetCircuitBreakers.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/TargetCircuitBreakers.java
@@ -6,11 +6,12 @@
 import java.util.Map;
 
 /**
- * The circuits of the targets of one service, as one router sees them.
+ * The circuit breakers of one router for the targets of one service.
  *
- * <p>A circuit opens after consecutive failures and lets one trial through at a time once its pause
- * is over. Only a share of the circuits may be open: when more targets fail, the cause lies
- * elsewhere, and shutting them all would take the service away. Not thread-safe.
+ * <p>A circuit opens after consecutive failures and admits one trial request at a time once its
+ * pause is over. Only a share of the circuits may be open at a time: if more targets fail, the
+ * cause lies elsewhere, and opening all circuits would make the service unavailable. Not
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -18,19 +19,19 @@
 
   private final RetrySettings settings;
   private final Map<TargetId, Circuit> circuits = new HashMap<>();
-  private int targets;
-  private int open;
+  private int targetCount;
+  private int openCount;
 
   /** The circuit of one target. */
   private static final class Circuit {
 
     private int failures;
     private boolean isOpen;
-    private long closesAtMs;
+    private long trialAtMs;
   }
 
   /**
-   * Creates a board with all circuits closed.
+   * Creates circuit breakers that are all closed.
    *
    * @param settings limits and times; not null
    */
@@ -39,30 +40,31 @@
   }
 
   /**
-   * Sets how many targets the service has.
+   * Sets the number of targets of the service.
    *
-   * @param count their number
+   * @param count the number of targets
    */
   public void onTargets(int count) {
-    targets = count;
+    targetCount = count;
   }
 
   /**
-   * Tells whether a request may go to a target. The first one after the pause is the trial.
+   * Returns whether a request may be sent to a target. The first request after the pause is the
+   * trial request.
    *
    * @param target the target; not null
    * @param nowMs the current time in milliseconds
-   * @return 0 if it may; otherwise when to come back, in milliseconds
+   * @return 0 if it may, else the time until a retry in milliseconds
    */
   public long waitMs(TargetId target, long nowMs) {
     Circuit circuit = circuits.get(target);
     if (circuit == null || !circuit.isOpen) {
       return 0;
     }
-    if (nowMs < circuit.closesAtMs) {
-      return circuit.closesAtMs - nowMs;
+    if (nowMs < circuit.trialAtMs) {
+      return circuit.trialAtMs - nowMs;
     }
-    circuit.closesAtMs = nowMs + settings.openMs();
+    circuit.trialAtMs = nowMs + settings.openMs();
     return 0;
   }
 
@@ -78,16 +80,16 @@
       case ANSWERED, REFUSED -> onSuccess(target);
       case NOT_CONNECTED, BROKEN, ABANDONED -> onFailure(target, nowMs);
       default -> {
-        // An unused slot, or a caller that went away, says nothing of the target.
+        // An unused slot or a disconnected caller is not evidence about the target.
       }
     }
   }
 
   /**
-   * Tells whether the circuit of a target is open.
+   * Returns whether the circuit of a target is open.
    *
    * @param target the target; not null
-   * @return true from the failure that opened it until an answer
+   * @return true from the failure that opened it until the next answer
    */
   public boolean isOpen(TargetId target) {
     Circuit circuit = circuits.get(target);
@@ -100,7 +102,7 @@
       return;
     }
     if (circuit.isOpen) {
-      open--;
+      openCount--;
     }
     circuits.remove(target);
   }
@@ -109,14 +111,14 @@
     Circuit circuit = circuits.computeIfAbsent(target, t -> new Circuit());
     circuit.failures++;
     if (circuit.isOpen) {
-      circuit.closesAtMs = nowMs + settings.openMs();
+      circuit.trialAtMs = nowMs + settings.openMs();
       return;
     }
-    boolean roomLeft = open + 1 <= (int) (targets * settings.openShare());
-    if (circuit.failures >= settings.failuresToOpen() && roomLeft) {
+    boolean belowOpenLimit = openCount + 1 <= (int) (targetCount * settings.openShare());
+    if (circuit.failures >= settings.failuresToOpen() && belowOpenLimit) {
       circuit.isOpen = true;
-      open++;
-      circuit.closesAtMs = nowMs + settings.openMs();
+      openCount++;
+      circuit.trialAtMs = nowMs + settings.openMs();
     }
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/package-info.java
@@ -1,2 +1,2 @@
-/** When to try again, and when to leave a target alone. */
+/** Retry budgets and circuit breakers. */
 package io.cuminvalve.core.retry;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestInterleavingsTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Events of one request in any order, late and doubled ones too: one outcome, a true verdict, no
- * second run of a request that is not idempotent, each slot returned once.
+ * Events of one request in any order, previous and doubled ones too: one outcome, a true verdict,
+ * no second run of a request that is not idempotent, each slot returned once.
  */
 class RequestInterleavingsTest {
 
   private static final int REQUESTS = 4_000;
   private static final int EVENTS = 40;
-  private static final int KINDS = 16;
+  private static final int EVENT_KINDS = 16;
 
   private Random random;
   private RequestStateMachine machine;
@@ -34,20 +34,20 @@
   private int possibleRuns;
   private long nowMs;
 
-  /** Slots held by attempt: true until released. */
+  /** Slots by attempt; true until released. */
   private Map<Integer, Boolean> slots;
 
-  /** Attempts whose bytes are at a target. */
+  /** Attempts of which bytes were sent to a target. */
   private List<Integer> sent;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void anyOrderOfEvents(long seed) {
+  void invariantsHoldForRandomEventOrder(long seed) {
     random = new Random(seed);
     int answered = 0;
     int refused = 0;
     for (int i = 0; i < REQUESTS; i++) {
-      runOne();
+      runOneRequest();
       answered += outcome.end() == End.ANSWERED ? 1 : 0;
       refused += outcome.verdict() == Verdict.NOT_RUN ? 1 : 0;
     }
@@ -55,7 +55,7 @@
     assertWithMessage("not run").that(refused).isGreaterThan(REQUESTS / 50);
   }
 
-  private void runOne() {
+  private void runOneRequest() {
     boolean idempotent = random.nextBoolean();
     profile =
         new RequestProfile(
@@ -75,21 +75,21 @@
     apply(machine.start(0));
     for (int i = 0; i < EVENTS; i++) {
       nowMs += random.nextInt(5);
-      fire(random.nextInt(KINDS), anyAttempt());
+      fireEvent(random.nextInt(EVENT_KINDS), randomAttempt());
     }
     apply(machine.onDeadline());
     for (int attempt : List.copyOf(slots.keySet())) {
       apply(machine.onAttemptClosed(attempt));
     }
-    checkEnd();
+    checkFinalState();
   }
 
-  private int anyAttempt() {
-    boolean late = machine.attempt() > 1 && random.nextInt(5) == 0;
-    return late ? 1 + random.nextInt(machine.attempt()) : machine.attempt();
+  private int randomAttempt() {
+    boolean previous = machine.attempt() > 1 && random.nextInt(5) == 0;
+    return previous ? 1 + random.nextInt(machine.attempt()) : machine.attempt();
   }
 
-  private void fire(int kind, int attempt) {
+  private void fireEvent(int kind, int attempt) {
     switch (kind) {
       case 0, 1 -> apply(machine.onIntentGranted());
       case 2, 3, 4 -> admit(attempt);
@@ -101,11 +101,11 @@
       case 11 -> apply(machine.onAnswerCut(attempt, nowMs));
       case 12, 13 -> apply(machine.onRetryTimer());
       case 14 -> apply(machine.onAttemptClosed(attempt));
-      default -> rareEvent(attempt);
+      default -> fireRareEvent(attempt);
     }
   }
 
-  private void rareEvent(int attempt) {
+  private void fireRareEvent(int attempt) {
     switch (random.nextInt(12)) {
       case 0 -> apply(machine.onDeadline());
       case 1 -> apply(machine.onCallerGone());
@@ -167,7 +167,7 @@
     }
   }
 
-  private void checkEnd() {
+  private void checkFinalState() {
     assertWithMessage("outcome").that(outcome).isNotNull();
     assertWithMessage("slots held at the end").that(slots.values()).doesNotContain(true);
     if (outcome.verdict() == Verdict.NOT_RUN) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestStateMachineTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestStateMachineTest.java
@@ -19,7 +19,7 @@
 import io.cuminvalve.core.verdict.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link RequestStateMachine} along single paths; the generated runs cover combinations. */
+/** Tests single paths of {@link RequestStateMachine}; random runs cover their combinations. */
 class RequestStateMachineTest {
 
   private static final long DEADLINE_MS = 1000;
@@ -27,7 +27,7 @@
   private static final RequestProfile PAYOUT = new RequestProfile(false, true, true, DEADLINE_MS);
 
   @Test
-  void relaysWholeAnswer() {
+  void relaysCompleteAnswer() {
     RequestStateMachine machine = new RequestStateMachine(PAYOUT, (failed, remaining, now) -> 10);
     assertThat(machine.start(0)).containsExactly(new ClaimIntent());
     assertThat(machine.onIntentGranted()).containsExactly(new Admit(1));
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void retriesNonIdempotentOnlyAfterProvenRefusal() {
+  void retriesNonIdempotentRequestOnlyAfterRefusal() {
     RequestStateMachine machine = sent(PAYOUT);
     assertThat(machine.onTargetRefused(1, TargetRefusal.DRAINING, 5))
         .containsExactly(new ReleaseSlot(1, SlotUse.REFUSED), new RetryAfter(10))
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void cutAnswerAfterItsHeadAbortsTheCaller() {
+  void brokenAnswerAfterHeadAbortsCallerConnection() {
     RequestStateMachine machine = sent(READ);
     machine.onAnswerHead(1);
     assertThat(machine.onAnswerCut(1, 30))
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void deadlineWhileConnectingProvesNotRunAndForbidsTheFirstByte() {
+  void deadlineWhileConnectingForbidsFirstByte() {
     RequestStateMachine machine = waiting(READ);
     machine.onAdmitted(1, 0);
     assertThat(machine.onDeadline()).contains(new CancelAtTarget(1));
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void answerAfterTheDeadlineIsDroppedAndKeepsItsSlotUntilClosed() {
+  void answerAfterDeadlineIsDroppedAndSlotHeldUntilClosed() {
     RequestStateMachine machine = sent(READ);
     assertThat(machine.onDeadline())
         .containsExactly(
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void callerThatLeavesSaysNothingOfTheTarget() {
+  void callerDisconnectReleasesSlotAsCancelled() {
     RequestStateMachine machine = sent(READ);
     assertThat(machine.onCallerGone()).contains(new CancelAtTarget(1));
     assertThat(machine.onAnswerEnd(1)).containsExactly(new ReleaseSlot(1, SlotUse.CANCELLED));
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/request/VerdictMatrixTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/request/VerdictMatrixTest.java
@@ -18,12 +18,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each failure at each point of a request, with the outcome that docs/FAULTS.md states. */
+/**
+ * Checks the outcome of each failure at each point of a request, as specified in docs/FAULTS.md.
+ */
 class VerdictMatrixTest {
 
   private static final long DEADLINE_MS = 1_000;
 
-  /** How far the request is when the failure comes. */
+  /** The point of the request at which the failure occurs. */
   private enum Point {
     CLAIMING,
     WAITING,
@@ -34,7 +36,7 @@
     BACKING_OFF_AFTER_CUT
   }
 
-  /** What goes wrong. */
+  /** The injected failure. */
   private enum Failure {
     DEADLINE,
     CALLER_GONE,
@@ -45,7 +47,7 @@
     NO_SLOT,
     EARLIER_RAN;
 
-    List<RequestEffect> happen(RequestStateMachine machine, long nowMs) {
+    List<RequestEffect> inject(RequestStateMachine machine, long nowMs) {
       int attempt = machine.attempt();
       return switch (this) {
         case DEADLINE -> machine.onDeadline();
@@ -87,7 +89,7 @@
     "BACKING_OFF_AFTER_CUT, CALLER_GONE, CALLER_GONE, MAY_HAVE_RUN, ,  ",
     "BACKING_OFF_AFTER_CUT, STOPPING,    REFUSED,     MAY_HAVE_RUN, ,  ",
   })
-  void outcomeIsTrue(
+  void outcomeMatchesSpecification(
       Point point, Failure failure, End end, Verdict read, Verdict payout, Verdict settled) {
     if (read != null) {
       check(point, failure, new RequestProfile(true, false, true, DEADLINE_MS), end, read, null);
@@ -104,18 +106,18 @@
 
   @ParameterizedTest
   @CsvSource({"CONNECTING, STOPPING", "SENT, STOPPING", "ANSWERING, STOPPING"})
-  void whatIsInFlightGoesOnWhenTheRouterStops(Point point, Failure failure) {
+  void requestInFlightContinuesWhenRouterStops(Point point, Failure failure) {
     RequestStateMachine machine = at(point, new RequestProfile(true, false, true, DEADLINE_MS));
-    assertWithMessage("effects").that(failure.happen(machine, 10)).isEmpty();
+    assertWithMessage("effects").that(failure.inject(machine, 10)).isEmpty();
     assertWithMessage("state").that(machine.state()).isNotEqualTo(RequestState.ENDED);
   }
 
   @ParameterizedTest
   @CsvSource({"CONNECTING, CONNECT_FAILED", "SENT, REFUSED", "SENT, CUT"})
-  void bodyThatIsGoneIsNotSentAgain(Point point, Failure failure) {
+  void consumedBodyIsNotResent(Point point, Failure failure) {
     RequestStateMachine machine = at(point, new RequestProfile(true, false, true, DEADLINE_MS));
     machine.onBodyConsumed();
-    List<RequestEffect> effects = failure.happen(machine, 10);
+    List<RequestEffect> effects = failure.inject(machine, 10);
     assertWithMessage("effects").that(effects).isNotEmpty();
     assertWithMessage("state").that(machine.state()).isEqualTo(RequestState.ENDED);
   }
@@ -128,7 +130,7 @@
       Verdict verdict,
       Verdict settled) {
     RequestStateMachine machine = at(point, profile);
-    List<RequestEffect> effects = failure.happen(machine, 999);
+    List<RequestEffect> effects = failure.inject(machine, 999);
     List<Outcome> outcomes = new ArrayList<>();
     Verdict settledAs = null;
     boolean slotSettled = false;
@@ -162,7 +164,7 @@
     }
   }
 
-  /** Brings a request to a point. Retries are due 10 ms later, and impossible at the end. */
+  /** Advances a request to a point. A retry takes 10 ms, so none fits right before the deadline. */
   private static RequestStateMachine at(Point point, RequestProfile profile) {
     RequestStateMachine machine = new RequestStateMachine(profile, (failed, remaining, now) -> 10);
     machine.start(0);
@@ -183,7 +185,7 @@
       case BACKING_OFF_AFTER_REFUSAL -> machine.onTargetRefused(1, TargetRefusal.DRAINING, 0);
       case BACKING_OFF_AFTER_CUT -> machine.onAnswerCut(1, 0);
       default -> {
-        // The request was sent and not answered.
+        // The request was sent but not answered.
       }
     }
     return machine;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/CircuitBreakerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/CircuitBreakerTest.java
@@ -15,7 +15,7 @@
       new CircuitBreaker(new Backoff(FIRST_MS, LONGEST_MS, new SplittableRandom(1)));
 
   @Test
-  void callsPassWhileTheyAreAnswered() {
+  void admitsCallsWhileTheyAreAnswered() {
     for (long nowMs = 0; nowMs < 10; nowMs++) {
       breaker.onAnswered(breaker.begin(nowMs).orElseThrow());
     }
@@ -23,14 +23,14 @@
   }
 
   @Test
-  void oneRefusalOpensItForItsPause() {
+  void oneRefusalOpensBreakerForPause() {
     breaker.onRefused(breaker.begin(0).orElseThrow(), 0);
     assertThat(breaker.begin(FIRST_MS / 2 - 1)).isEmpty();
     assertThat(breaker.begin(FIRST_MS)).isPresent();
   }
 
   @Test
-  void oneBrokenConnectionDoesNotOpenItButTwoInSequenceDo() {
+  void twoConsecutiveFailuresOpenBreaker() {
     breaker.onFailed(breaker.begin(0).orElseThrow(), 0);
     breaker.onAnswered(breaker.begin(1).orElseThrow());
     breaker.onFailed(breaker.begin(2).orElseThrow(), 2);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void whileItIsOpenOneTrialGoesOutEachPause() {
+  void openBreakerAdmitsOneTrialPerPause() {
     breaker.onRefused(breaker.begin(0).orElseThrow(), 0);
     int trials = 0;
     for (long nowMs = 1; nowMs <= 9_000; nowMs++) {
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void anAnsweredTrialClosesItAndPausesStartAgain() {
+  void answeredTrialClosesBreakerAndResetsPauses() {
     breaker.onRefused(breaker.begin(0).orElseThrow(), 0);
     for (long nowMs = 1; nowMs < 5_000; nowMs++) {
       breaker.begin(nowMs);
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void callsThatBeganEarlierSayNothing() {
+  void resultsOfEarlierCallsAreIgnored() {
     long early = breaker.begin(0).orElseThrow();
     long other = breaker.begin(0).orElseThrow();
     breaker.onRefused(other, 1);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/RetryTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/RetryTest.java
@@ -13,10 +13,10 @@
   private static final RetrySettings SETTINGS = new RetrySettings(0.1, 2, 10, 60, 5, 3, 500, 0.34);
   private static final TargetId FIRST = new TargetId("t0");
 
-  private final TargetCircuitBreakers board = new TargetCircuitBreakers(SETTINGS);
+  private final TargetCircuitBreakers breakers = new TargetCircuitBreakers(SETTINGS);
 
   @Test
-  void retriesStayWithinTheirShare() {
+  void retriesStayWithinBudgetShare() {
     RetryBudget budget = new RetryBudget(SETTINGS, () -> 0.5);
     int retries = 0;
     for (int request = 0; request < 1_000; request++) {
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void backoffDoublesWithFullJitterUpToItsCeiling() {
+  void backoffDoublesWithFullJitterUpToMaximum() {
     RetrySettings generous = new RetrySettings(0.1, 100, 10, 60, 9, 3, 500, 0.34);
     RetryBudget longest = new RetryBudget(generous, () -> 0.999);
     RetryBudget shortest = new RetryBudget(generous, () -> 0.0);
@@ -49,49 +49,49 @@
 
   @Test
   void circuitOpensAfterFailuresAndClosesAfterTrial() {
-    board.onTargets(10);
+    breakers.onTargets(10);
     fail(FIRST, 2, 0);
-    assertThat(board.waitMs(FIRST, 0)).isEqualTo(0);
+    assertThat(breakers.waitMs(FIRST, 0)).isEqualTo(0);
     fail(FIRST, 1, 0);
-    assertThat(board.waitMs(FIRST, 100)).isEqualTo(400);
-    assertThat(board.waitMs(FIRST, 500)).isEqualTo(0);
-    assertThat(board.waitMs(FIRST, 501)).isEqualTo(499);
-    board.onAttempt(FIRST, SlotUse.ANSWERED, 510);
-    assertThat(board.waitMs(FIRST, 510)).isEqualTo(0);
+    assertThat(breakers.waitMs(FIRST, 100)).isEqualTo(400);
+    assertThat(breakers.waitMs(FIRST, 500)).isEqualTo(0);
+    assertThat(breakers.waitMs(FIRST, 501)).isEqualTo(499);
+    breakers.onAttempt(FIRST, SlotUse.ANSWERED, 510);
+    assertThat(breakers.waitMs(FIRST, 510)).isEqualTo(0);
     fail(FIRST, 2, 520);
-    assertThat(board.isOpen(FIRST)).isFalse();
+    assertThat(breakers.isOpen(FIRST)).isFalse();
   }
 
   @Test
-  void refusalIsAnAnswerAndUnusedSlotSaysNothing() {
-    board.onTargets(10);
+  void refusalResetsFailuresAndUnusedSlotIsIgnored() {
+    breakers.onTargets(10);
     fail(FIRST, 2, 0);
-    board.onAttempt(FIRST, SlotUse.REFUSED, 0);
-    board.onAttempt(FIRST, SlotUse.UNUSED, 0);
+    breakers.onAttempt(FIRST, SlotUse.REFUSED, 0);
+    breakers.onAttempt(FIRST, SlotUse.UNUSED, 0);
     fail(FIRST, 2, 0);
-    board.onAttempt(FIRST, SlotUse.CANCELLED, 0);
-    assertThat(board.isOpen(FIRST)).isFalse();
+    breakers.onAttempt(FIRST, SlotUse.CANCELLED, 0);
+    assertThat(breakers.isOpen(FIRST)).isFalse();
   }
 
   @Test
-  void neverOpensForTheWholeService() {
-    board.onTargets(10);
+  void openCircuitsStayWithinOpenShare() {
+    breakers.onTargets(10);
     for (int i = 0; i < 10; i++) {
       fail(new TargetId("t" + i), 20, 0);
     }
     int open = 0;
     for (int i = 0; i < 10; i++) {
-      open += board.isOpen(new TargetId("t" + i)) ? 1 : 0;
+      open += breakers.isOpen(new TargetId("t" + i)) ? 1 : 0;
     }
     assertThat(open).isEqualTo(3);
-    board.onAttempt(FIRST, SlotUse.ANSWERED, 10);
+    breakers.onAttempt(FIRST, SlotUse.ANSWERED, 10);
     fail(new TargetId("t9"), 1, 20);
-    assertThat(board.isOpen(new TargetId("t9"))).isTrue();
+    assertThat(breakers.isOpen(new TargetId("t9"))).isTrue();
   }
 
   private void fail(TargetId target, int times, long nowMs) {
     for (int i = 0; i < times; i++) {
-      board.onAttempt(target, SlotUse.NOT_CONNECTED, nowMs);
+      breakers.onAttempt(target, SlotUse.NOT_CONNECTED, nowMs);
     }
   }
 }
