--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestStateMachine.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/request/RequestStateMachine.java
@@ -36,8 +36,8 @@
  *   <li>A slot is returned only when no part of its attempt is in flight.
  * </ul>
  *
- * <p>Not thread-safe: the caller serialises the events of one request. Events that are not valid in
- * the current state return no effects.
+ * <p>Not thread-safe: the caller serialises the events of one request. Events that no longer apply
+ * return no effects.
  *
  * @since 0.1
  */
@@ -112,7 +112,7 @@
   }
 
   /**
-   * Handles the grant of the claim: the routers that track the operation have recorded it.
+   * Called when the claim was granted: the routers that track the operation have recorded it.
    *
    * @return the effects; never null
    */
@@ -125,7 +125,7 @@
   }
 
   /**
-   * Handles the refusal of the claim: an earlier request has the same idempotency key, or the
+   * Called when the claim was refused: an earlier request has the same idempotency key, or the
    * routers that track the operation do not answer.
    *
    * @param earlier whether the operation of the key may have run; not null
@@ -143,7 +143,7 @@
   }
 
   /**
-   * Handles the grant of a slot of the target that owns the shard.
+   * Called when a slot of the target that owns the shard was granted.
    *
    * @param admitted the number of the attempt
    * @param nowMs the current time in milliseconds
@@ -163,7 +163,7 @@
   }
 
   /**
-   * Handles the refusal of a slot; the request ends immediately.
+   * Called when no slot was granted; the request ends immediately.
    *
    * @param refused the number of the attempt
    * @param reason the reason; not null
@@ -179,7 +179,7 @@
   }
 
   /**
-   * Handles a failure to connect; no byte was handed to a connection.
+   * Called when connecting failed; no byte was handed to a connection.
    *
    * @param failed the number of the attempt
    * @param nowMs the current time in milliseconds
@@ -211,15 +211,13 @@
     return true;
   }
 
-  /**
-   * Handles that part of the body was read from the caller without buffering: no resend possible.
-   */
+  /** Called when part of the body was read without buffering it, so that it cannot be resent. */
   public void onBodyConsumed() {
     bodyReplayable = false;
   }
 
   /**
-   * Handles a refusal by the target before running the request.
+   * Called when the target refused the request before running it.
    *
    * @param refused the number of the attempt
    * @param refusal the kind of refusal; not null
@@ -237,7 +235,7 @@
   }
 
   /**
-   * Handles that the head of the answer was read.
+   * Called when the head of the answer was read.
    *
    * @param answered the number of the attempt
    * @return the effects; never null
@@ -254,7 +252,7 @@
   }
 
   /**
-   * Handles that the answer was read completely.
+   * Called when the answer was read completely.
    *
    * @param answered the number of the attempt
    * @return the effects; never null
@@ -271,7 +269,7 @@
   }
 
   /**
-   * Handles that the connection broke after the first byte and before the end of the answer.
+   * Called when the connection broke after the first byte and before the end of the answer.
    *
    * @param cut the number of the attempt
    * @param nowMs the current time in milliseconds
@@ -298,7 +296,7 @@
   }
 
   /**
-   * Handles that the deadline passed.
+   * Called when the deadline passed.
    *
    * @return the effects; never null
    */
@@ -307,7 +305,7 @@
   }
 
   /**
-   * Handles that the caller disconnected.
+   * Called when the caller disconnected.
    *
    * @return the effects; never null
    */
@@ -316,7 +314,7 @@
   }
 
   /**
-   * Handles that the router is stopping. A request that has not been sent is refused; a request in
+   * Called when the router is stopping. A request that has not been sent is refused; a request in
    * flight continues.
    *
    * @param retryAfterMs when to retry; milliseconds
@@ -332,7 +330,7 @@
   }
 
   /**
-   * Handles the end of the delay before the next attempt.
+   * Called when the delay before the next attempt is over.
    *
    * @return the effects; never null
    */
@@ -341,7 +339,7 @@
   }
 
   /**
-   * Handles that an abandoned attempt has ended at the target, as far as the router can tell.
+   * Called when an abandoned attempt has ended at the target, as far as the router can tell.
    *
    * @param closed the number of the attempt
    * @return the effects; never null
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/SharedRetryBudget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/SharedRetryBudget.java
@@ -17,7 +17,7 @@
    */
   private static final int SLICES = 10;
 
-  /** Only requests of the newer half of the window count; older ones may have left the window. */
+  /** Requests up to half a window old count in full; older ones may have left the window. */
   private static final int REQUEST_SLICES = SLICES / 2;
 
   private final double share;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestInterleavingsTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Events of one request in any order, previous and doubled ones too: one outcome, a true verdict,
- * no second run of a request that is not idempotent, each slot returned once.
+ * Sends random events, including late and duplicate ones, to the state machine of a request. Checks
+ * that there is exactly one outcome, that the verdict is correct, that a request that is not
+ * idempotent never runs twice, and that each slot is returned exactly once.
  */
 class RequestInterleavingsTest {
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/CircuitBreakerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/CircuitBreakerTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void twoConsecutiveFailuresOpenBreaker() {
+  void onlyTwoConsecutiveFailuresOpenBreaker() {
     breaker.onFailed(breaker.begin(0).orElseThrow(), 0);
     breaker.onAnswered(breaker.begin(1).orElseThrow());
     breaker.onFailed(breaker.begin(2).orElseThrow(), 2);
