--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/RouterIncarnations.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/admission/RouterIncarnations.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * Tracks the incarnation of each other router that last sent a message.
+ * Tracks the last seen incarnation of each other router.
  *
  * @since 0.1
  */
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/admission/AdmissionInterleavingsTest.java
@@ -68,10 +68,11 @@
     private TableVersion installed = TableVersion.NONE;
     private boolean lost;
 
-    Node(RouterId id, long run) {
+    Node(RouterId id, long incarnation) {
       this.id = id;
       this.coordinator =
-          new AdmissionCoordinator(CELL, id, new Incarnation(run), AdmissionSettings.DEFAULT, this);
+          new AdmissionCoordinator(
+              CELL, id, new Incarnation(incarnation), AdmissionSettings.DEFAULT, this);
       coordinator.onTargets(instances(), nowMs);
     }
 
@@ -141,12 +142,12 @@
     }
   }
 
-  private void addRouter(String name, long run) {
+  private void addRouter(String name, long incarnation) {
     RouterId id = new RouterId(name);
     routers = new ArrayList<>(routers);
     routers.add(new RegisteredRouter(id, new DataCentreId("dc"), "127.0.0.1:1", true));
     version = version.nextWrite();
-    nodes.put(id, new Node(id, run));
+    nodes.put(id, new Node(id, incarnation));
   }
 
   private void loseOrAddRouter() {
