--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/request/RequestInterleavingsTest.java
@@ -16,17 +16,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Events of one request in any order, late and doubled ones too: one outcome, a true verdict, no
- * second run of a request that is not idempotent, each slot returned once.
+ * Sends random events, including late and duplicate ones, to the state machine of a request. Checks
+ * that there is exactly one outcome, that the verdict is correct, that a request that is not
+ * idempotent never runs twice, and that each slot is returned exactly once.
  */
 class RequestInterleavingsTest {
 
   private static final int REQUESTS = 4_000;
   private static final int EVENTS = 40;
-  private static final int KINDS = 16;
+  private static final int EVENT_KINDS = 16;
 
   private Random random;
-  private RequestMachine machine;
+  private RequestStateMachine machine;
   private RequestProfile profile;
   private Outcome outcome;
   private Verdict settled;
@@ -34,20 +35,20 @@
   private int possibleRuns;
   private long nowMs;
 
-  /** Slots held by attempt: true until released. */
+  /** Slots by attempt; true until released. */
   private Map<Integer, Boolean> slots;
 
-  /** Attempts whose bytes are at a target. */
+  /** Attempts of which bytes were sent to a target. */
   private List<Integer> sent;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void anyOrderOfEvents(long seed) {
+  void invariantsHoldForRandomEventOrder(long seed) {
     random = new Random(seed);
     int answered = 0;
     int refused = 0;
     for (int i = 0; i < REQUESTS; i++) {
-      runOne();
+      runOneRequest();
       answered += outcome.end() == End.ANSWERED ? 1 : 0;
       refused += outcome.verdict() == Verdict.NOT_RUN ? 1 : 0;
     }
@@ -55,16 +56,16 @@
     assertWithMessage("not run").that(refused).isGreaterThan(REQUESTS / 50);
   }
 
-  private void runOne() {
+  private void runOneRequest() {
     boolean idempotent = random.nextBoolean();
     profile =
         new RequestProfile(
             idempotent, !idempotent && random.nextBoolean(), random.nextInt(4) > 0, 500);
     machine =
-        new RequestMachine(
+        new RequestStateMachine(
             profile,
             (failed, remaining, now) ->
-                random.nextInt(4) == 0 ? RetryDecider.NO_RETRY : random.nextInt(20));
+                random.nextInt(4) == 0 ? RetryPolicy.NO_RETRY : random.nextInt(20));
     outcome = null;
     settled = null;
     headRelayed = false;
@@ -75,21 +76,21 @@
     apply(machine.start(0));
     for (int i = 0; i < EVENTS; i++) {
       nowMs += random.nextInt(5);
-      fire(random.nextInt(KINDS), anyAttempt());
+      fireEvent(random.nextInt(EVENT_KINDS), randomAttempt());
     }
     apply(machine.onDeadline());
     for (int attempt : List.copyOf(slots.keySet())) {
       apply(machine.onAttemptClosed(attempt));
     }
-    checkEnd();
+    checkFinalState();
   }
 
-  private int anyAttempt() {
-    boolean late = machine.attempt() > 1 && random.nextInt(5) == 0;
-    return late ? 1 + random.nextInt(machine.attempt()) : machine.attempt();
+  private int randomAttempt() {
+    boolean previous = machine.attempt() > 1 && random.nextInt(5) == 0;
+    return previous ? 1 + random.nextInt(machine.attempt()) : machine.attempt();
   }
 
-  private void fire(int kind, int attempt) {
+  private void fireEvent(int kind, int attempt) {
     switch (kind) {
       case 0, 1 -> apply(machine.onIntentGranted());
       case 2, 3, 4 -> admit(attempt);
@@ -101,11 +102,11 @@
       case 11 -> apply(machine.onAnswerCut(attempt, nowMs));
       case 12, 13 -> apply(machine.onRetryTimer());
       case 14 -> apply(machine.onAttemptClosed(attempt));
-      default -> rareEvent(attempt);
+      default -> fireRareEvent(attempt);
     }
   }
 
-  private void rareEvent(int attempt) {
+  private void fireRareEvent(int attempt) {
     switch (random.nextInt(12)) {
       case 0 -> apply(machine.onDeadline());
       case 1 -> apply(machine.onCallerGone());
@@ -167,7 +168,7 @@
     }
   }
 
-  private void checkEnd() {
+  private void checkFinalState() {
     assertWithMessage("outcome").that(outcome).isNotNull();
     assertWithMessage("slots held at the end").that(slots.values()).doesNotContain(true);
     if (outcome.verdict() == Verdict.NOT_RUN) {
