--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
@@ -2,7 +2,7 @@
 
 import io.cuminvalve.core.route.RoutingConfiguration;
 import io.cuminvalve.gateway.control.FleetControl;
-import io.cuminvalve.gateway.control.StoreCalls;
+import io.cuminvalve.gateway.control.StoreCircuitBreaker;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import io.cuminvalve.gateway.observe.MetricsPage;
 import io.cuminvalve.gateway.observe.RequestMetrics;
@@ -68,8 +68,9 @@
   public Gateway(
       GatewaySettings settings, SharedKey sharedKey, Function<StoreCallGuard, GatewayPorts> ports) {
     this.settings = settings;
-    StoreCalls guard =
-        new StoreCalls(clock, storeCalls, new SplittableRandom(), this::longestStorePauseMs);
+    StoreCircuitBreaker guard =
+        new StoreCircuitBreaker(
+            clock, storeCalls, new SplittableRandom(), this::longestStorePauseMs);
     GatewayPorts guarded = ports.apply(guard);
     this.server =
         new GatewayServer(
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ConfigurationWatch.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ConfigurationWatch.java
@@ -169,7 +169,7 @@
    * @param known the newest revision that it knows
    * @return empty if it lacks nothing, or may still learn of it by itself
    */
-  public Optional<StoreValue> lackedBy(long known) {
+  public Optional<StoreValue> missingFrom(long known) {
     Map.Entry<Long, Long> firstMissed = sinceMs.higherEntry(known);
     boolean lags = firstMissed != null && clock.nowMs() - firstMissed.getValue() > LAG_MS;
     return lags ? newest : Optional.empty();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
@@ -30,9 +30,9 @@
  *
  * <p>A request comes back at any gateway, so none of them sees enough alone. The holder of the term
  * and its deputies hear of every crash, everybody of requests under which two targets ended, by a
- * {@link NewsExchange}. For the control thread.
+ * {@link StateExchange}. For the control thread.
  */
-final class CrashDesk implements NewsExchange.Knowledge<CrashNews> {
+final class CrashCoordinator implements StateExchange.Knowledge<CrashNews> {
 
   /** Whom a gateway tells. */
   interface Audience extends FleetAudience {
@@ -53,7 +53,7 @@
   private final CrashLedger ledger;
   private final RequestQuarantine quarantine;
   private final Audience audience;
-  private final NewsExchange<CrashNews> exchange;
+  private final StateExchange<CrashNews> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
   private final Set<RequestFingerprint> seen = new LinkedHashSet<>();
@@ -63,7 +63,7 @@
   private Map<RequestFingerprint, Long> refused = Map.of();
   private final Map<RequestFingerprint, Integer> crashCounts = new HashMap<>();
 
-  CrashDesk(
+  CrashCoordinator(
       CrashLedger ledger,
       RequestQuarantine quarantine,
       Audience audience,
@@ -72,7 +72,7 @@
     this.ledger = ledger;
     this.quarantine = quarantine;
     this.audience = audience;
-    this.exchange = new NewsExchange<>(this, audience);
+    this.exchange = new StateExchange<>(this, audience);
     this.clock = clock;
     this.log = log;
   }
@@ -127,7 +127,7 @@
   }
 
   @Override
-  public Optional<CrashNews> lackedBy(CrashNews told) {
+  public Optional<CrashNews> missingFrom(CrashNews told) {
     Set<RequestFingerprint> lacking = new HashSet<>(watched);
     for (CrashReport report : told.reports()) {
       RequestFingerprint fingerprint = report.fingerprint();
@@ -190,8 +190,8 @@
   }
 
   /** The holder and its deputies, as known now: new ones hear what this gateway saw itself. */
-  void onConfidants(Optional<String> holderAddress, Collection<String> deputies) {
-    Set<String> added = exchange.onConfidants(holderAddress, deputies);
+  void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
+    Set<String> added = exchange.onHolderAndDeputies(holderAddress, deputies);
     if (!added.isEmpty() && !seen.isEmpty()) {
       CrashNews all = new CrashNews(false, ledger.reports(seen, clock.nowMs()));
       added.forEach(address -> audience.tell(address, all));
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
@@ -18,15 +18,15 @@
 import java.util.Optional;
 
 /**
- * Connects the {@link CrashDesk} of this gateway with its traffic, the other gateways and the
- * store. For the control thread.
+ * Connects the {@link CrashCoordinator} of this gateway with its traffic, the other gateways and
+ * the store. For the control thread.
  */
-final class CrashLink extends PeerAudience implements CrashDesk.Audience {
+final class CrashLink extends PeerAudience implements CrashCoordinator.Audience {
 
   private final ControlThread control;
   private final TrafficReports reports;
-  private final CrashDesk desk;
-  private final CrashArchive archive;
+  private final CrashCoordinator desk;
+  private final QuarantineStore archive;
   private boolean holder;
 
   CrashLink(
@@ -42,8 +42,8 @@
     super(network, subscribers);
     this.control = control;
     this.reports = reports;
-    this.desk = new CrashDesk(ledger, reports.quarantine(), this, clock, log);
-    this.archive = new CrashArchive(store, control, log, codec, desk::onStored);
+    this.desk = new CrashCoordinator(ledger, reports.quarantine(), this, clock, log);
+    this.archive = new QuarantineStore(store, control, log, codec, desk::onStored);
   }
 
   void start() {
@@ -89,8 +89,8 @@
   }
 
   /** The holder, unless it is this gateway, and its deputies are these. */
-  void onConfidants(Optional<String> holderAddress, Collection<String> deputies) {
-    desk.onConfidants(holderAddress, deputies);
+  void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
+    desk.onHolderAndDeputies(holderAddress, deputies);
   }
 
   @Override
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
@@ -18,14 +18,14 @@
 /**
  * Lets the fleet know which targets have said in an answer that they leave.
  *
- * <p>The first gateway that hears it tells all others by a {@link NewsExchange}: the registry may
+ * <p>The first gateway that hears it tells all others by a {@link StateExchange}: the registry may
  * tell it much later, or never. For the control thread.
  */
-final class DepartureDesk implements NewsExchange.Knowledge<DepartureNews> {
+final class DepartureCoordinator implements StateExchange.Knowledge<DepartureNews> {
 
   private final DepartureLedger ledger = new DepartureLedger();
   private final FleetAudience audience;
-  private final NewsExchange<DepartureNews> exchange;
+  private final StateExchange<DepartureNews> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
   private final Consumer<Set<TargetId>> onChange;
@@ -38,13 +38,13 @@
    * @param log takes decisions; not null
    * @param onChange takes all runs that leave, after each change; not null
    */
-  DepartureDesk(
+  DepartureCoordinator(
       FleetAudience audience,
       MillisClock clock,
       DecisionLog log,
       Consumer<Set<TargetId>> onChange) {
     this.audience = audience;
-    this.exchange = new NewsExchange<>(this, audience);
+    this.exchange = new StateExchange<>(this, audience);
     this.clock = clock;
     this.log = log;
     this.onChange = onChange;
@@ -92,8 +92,8 @@
   }
 
   /** The holder, unless it is this gateway, and its deputies are these. */
-  void onConfidants(Optional<String> holderAddress, Collection<String> deputies) {
-    exchange.onConfidants(holderAddress, deputies);
+  void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
+    exchange.onHolderAndDeputies(holderAddress, deputies);
   }
 
   /** Forgets runs that have long been gone. */
@@ -114,7 +114,7 @@
   }
 
   @Override
-  public Optional<DepartureNews> lackedBy(DepartureNews told) {
+  public Optional<DepartureNews> missingFrom(DepartureNews told) {
     Set<TargetId> lacking = new HashSet<>(ledger.targets());
     told.reports().forEach(report -> lacking.remove(report.target()));
     return lacking.isEmpty() ? Optional.empty() : Optional.of(newsOf(lacking));
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * Connects the {@link DepartureDesk} of this gateway with its traffic, its routing and the other
- * gateways. For the control thread.
+ * Connects the {@link DepartureCoordinator} of this gateway with its traffic, its routing and the
+ * other gateways. For the control thread.
  */
 final class DepartureLink {
 
@@ -25,7 +25,7 @@
   private final ControlThread control;
   private final TargetDepartures departures;
   private final Runnable onChange;
-  private final DepartureDesk desk;
+  private final DepartureCoordinator desk;
 
   DepartureLink(
       PeerNetwork network,
@@ -41,7 +41,8 @@
     this.departures = departures;
     this.onChange = onChange;
     this.desk =
-        new DepartureDesk(new PeerAudience(network, subscribers), clock, log, this::takeEffect);
+        new DepartureCoordinator(
+            new PeerAudience(network, subscribers), clock, log, this::takeEffect);
   }
 
   void start() {
@@ -70,8 +71,8 @@
   }
 
   /** The holder, unless it is this gateway, and its deputies are these. */
-  void onConfidants(Optional<String> holderAddress, Collection<String> deputies) {
-    desk.onConfidants(holderAddress, deputies);
+  void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
+    desk.onHolderAndDeputies(holderAddress, deputies);
     desk.forget(target -> state.current().target(target).isPresent());
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Deputies.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Deputies.java
@@ -6,7 +6,7 @@
 /**
  * The gateways that follow the store beside the holder, as a holder named them last.
  *
- * <p>For the control thread, but for {@link #isNeeded}.
+ * <p>For the control thread, but for {@link #mustFollowStore}.
  */
 final class Deputies {
 
@@ -27,7 +27,7 @@
   }
 
   /** Tells whether this process is to follow the store itself: it is a deputy, or knows of none. */
-  boolean isNeeded() {
+  boolean mustFollowStore() {
     List<String> named = addresses;
     return named.isEmpty() || named.contains(ownAddress);
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OwnRegistryLook.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FallbackRegistryFollower.java
@@ -13,7 +13,7 @@
  * Follows the registry of targets for this gateway alone, while it hears nothing of them from the
  * holder. For the control thread.
  */
-final class OwnRegistryLook {
+final class FallbackRegistryFollower {
 
   private final GatewayPorts ports;
   private final RoutingState state;
@@ -22,7 +22,7 @@
   private final DecisionLog log;
   private volatile Optional<RegistryFollower> follower = Optional.empty();
 
-  OwnRegistryLook(
+  FallbackRegistryFollower(
       GatewayPorts ports,
       RoutingState state,
       ControlThread control,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
@@ -114,7 +114,7 @@
             random.split());
     FleetPace pace = new FleetPace(state);
     Deputies deputies = new Deputies(network.localAddress());
-    Reliance reliance = new Reliance(pace::confirmedMs, () -> !deputies.isNeeded());
+    Reliance reliance = new Reliance(pace::confirmedMs, () -> !deputies.mustFollowStore());
     this.configuration =
         new ConfigurationWatch(ports, state, control, clock, log, reliance, this::onConfiguration);
     this.link =
@@ -142,7 +142,7 @@
             random.split(),
             log,
             codec,
-            new TermNote(settings.process(), random.nextLong(), network.localAddress()),
+            new TermHolderRecord(settings.process(), random.nextLong(), network.localAddress()),
             settings.firstCandidate(),
             settings.processorCores(),
             settings.leases().holderGraceMs(),
@@ -200,9 +200,9 @@
    */
   private void writeAgain(HolderDuties holder) {
     if (link.isFollowedByMost()) {
-      holder.rewrite(termLease::takeAgain);
+      holder.rewrite(termLease::reacquire);
     } else {
-      termLease.renounce("store_came_back_older");
+      termLease.relinquish("store_came_back_older");
     }
   }
 
@@ -284,7 +284,7 @@
   }
 
   /** The link is made before the lease of the term. */
-  private final class LeasedTerm implements TermKnowledge {
+  private final class LeasedTerm implements TermView {
 
     @Override
     public boolean onHeard(long term, String holderAddress, UpperTime at) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -104,10 +104,10 @@
   private final DecisionLog log;
   private final GatewayPorts ports;
   private final GatewaySettings settings;
-  private final FirstLook firstLook;
+  private final StartupReader firstLook;
   private final TrafficReports reports;
   private final FleetPace pace;
-  private final TermKnowledge terms;
+  private final TermView terms;
   private final Deputies deputies;
   private final ConfigurationWatch configuration;
   private final long startedMs;
@@ -116,7 +116,7 @@
   private final CrashLink crashes;
   private final QuotaLink quotas;
   private final DepartureLink departures;
-  private final OwnRegistryLook ownLook;
+  private final FallbackRegistryFollower ownLook;
   private final FleetView view = new FleetView();
   private volatile Optional<HolderDuties> duties = Optional.empty();
   private Optional<String> holderAddress = Optional.empty();
@@ -142,7 +142,7 @@
       TrafficReports reports,
       FleetPace pace,
       Runnable onReplaced,
-      TermKnowledge terms,
+      TermView terms,
       Deputies deputies,
       CrashLedger ledger) {
     this.network = network;
@@ -152,7 +152,7 @@
     this.log = log;
     this.ports = ports;
     this.settings = settings;
-    this.firstLook = new FirstLook(ports, control, clock, log, codec, new FirstKnowledge());
+    this.firstLook = new StartupReader(ports, control, clock, log, codec, new FirstKnowledge());
     this.reports = reports;
     this.pace = pace;
     this.inheritance = new LeaseInheritance(network, subscribers, clock, onReplaced);
@@ -172,7 +172,7 @@
             log,
             reports.departures(),
             () -> duties.ifPresent(HolderDuties::onDepartures));
-    this.ownLook = new OwnRegistryLook(ports, state, control, clock, log);
+    this.ownLook = new FallbackRegistryFollower(ports, state, control, clock, log);
     this.terms = terms;
     this.deputies = deputies;
     this.configuration = configuration;
@@ -279,9 +279,9 @@
   private void onPace() {
     if (duties.isPresent()) {
       inheritance.ask();
-      crashes.onConfidants(Optional.empty(), subscribers.deputies());
-      quotas.onConfidants(Optional.empty(), subscribers.deputies(), subscribers.count() + 1);
-      departures.onConfidants(Optional.empty(), subscribers.deputies());
+      crashes.onHolderAndDeputies(Optional.empty(), subscribers.deputies());
+      quotas.onHolderAndDeputies(Optional.empty(), subscribers.deputies(), subscribers.count() + 1);
+      departures.onHolderAndDeputies(Optional.empty(), subscribers.deputies());
       state.noteMoves(duties.get().termAgeMs() <= FRESH_MS, clock.nowMs());
       subscribers.dropSilent(clock.nowMs(), pace.helloMs());
       updateProcesses();
@@ -428,9 +428,9 @@
       return;
     }
     deputies.onNamed(beat.deputies());
-    crashes.onConfidants(holderAddress, deputies.others());
-    quotas.onConfidants(holderAddress, deputies.others(), Math.max(1, beat.processes()));
-    departures.onConfidants(holderAddress, deputies.others());
+    crashes.onHolderAndDeputies(holderAddress, deputies.others());
+    quotas.onHolderAndDeputies(holderAddress, deputies.others(), Math.max(1, beat.processes()));
+    departures.onHolderAndDeputies(holderAddress, deputies.others());
     state.noteMoves(beat.termAgeMs() <= FRESH_MS, clock.nowMs());
     if (Math.max(beat.termAgeMs(), beat.configurationAgeMs()) <= FRESH_MS) {
       freshBeat = clock.upper();
@@ -578,7 +578,7 @@
     quotas.onHello(sender, hello);
     departures.onHello(sender, hello);
     configuration
-        .lackedBy(hello.configurationRevision())
+        .missingFrom(hello.configurationRevision())
         .ifPresent(value -> sender.send(new ConfigurationNews(value.revision(), value.value())));
   }
 
@@ -619,7 +619,7 @@
   }
 
   /** What the store says counts only until a holder says more. */
-  private final class FirstKnowledge implements FirstLook.Listener {
+  private final class FirstKnowledge implements StartupReader.Listener {
 
     @Override
     public void onTargets(List<FleetTarget> targets, UpperTime asOf) {
@@ -630,7 +630,7 @@
     }
 
     @Override
-    public void onNoTargets() {
+    public void onTargetsUnavailable() {
       firstListingDueMs = Optional.of(clock.nowMs());
     }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetPace.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetPace.java
@@ -15,7 +15,7 @@
   /**
    * The pause grows up to this. A wait at the store and the link to the holder that fall silent
    * together hide a change for less than 2 s then, whatever the width of the fleet ({@code
-   * WaitBoundsTest}). The holder of 300 gateways hears 430 hellos a second.
+   * WatchDelayBoundsTest}). The holder of 300 gateways hears 430 hellos a second.
    */
   private static final long LONGEST_HELLO_MS = 700;
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
@@ -386,11 +386,11 @@
 
   private void act() {
     actPending = false;
-    if (!ready || !follower.isListed() || !termLease.isConfirmedSinceWaking()) {
+    if (!ready || !follower.isListed() || !termLease.isConfirmedSinceResume()) {
       return;
     }
     if (tokenCount > MOST_TOKENS) {
-      termLease.renounce("tokens_used_up");
+      termLease.relinquish("tokens_used_up");
       return;
     }
     long nowMs = clock.nowMs();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
@@ -199,7 +199,7 @@
       UpperTime proved = sent;
       store.read(key).thenAcceptAsync(result -> onRead(number, result, proved), control);
     } else {
-      WaitProof proof = new WaitProof(sent, sentMs, waitMs);
+      WatchFreshness proof = new WatchFreshness(sent, sentMs, waitMs);
       store
           .watch(key, revision, waitMs)
           .thenApply(result -> new Answer(result, provedBy(result, proof)))
@@ -264,7 +264,7 @@
     }
   }
 
-  private UpperTime provedBy(WatchResult result, WaitProof proof) {
+  private UpperTime provedBy(WatchResult result, WatchFreshness proof) {
     return proof.onAnswer(result.event() == WatchResult.Event.UNCHANGED, clock.nowMs());
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashArchive.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuarantineStore.java
@@ -22,7 +22,7 @@
  * store are those of the moment of writing: a quarantine that is read again lasts longer by the
  * time in between. For the control thread.
  */
-final class CrashArchive {
+final class QuarantineStore {
 
   static final String KEY = "cuminvalve/crashes";
 
@@ -38,7 +38,7 @@
   private boolean open;
   private boolean busy;
 
-  CrashArchive(
+  QuarantineStore(
       KeyValueStore store,
       ControlThread control,
       DecisionLog log,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
@@ -21,9 +21,9 @@
  * Lets the fleet know which targets name a limit, and has the holder of the term give out what they
  * take.
  *
- * <p>Limits are known to all by a {@link NewsExchange}. For the control thread.
+ * <p>Limits are known to all by a {@link StateExchange}. For the control thread.
  */
-final class QuotaDesk implements NewsExchange.Knowledge<LimitNews> {
+final class QuotaCoordinator implements StateExchange.Knowledge<LimitNews> {
 
   /** Whom a gateway tells. */
   interface Audience extends FleetAudience {
@@ -43,18 +43,18 @@
   private final String process;
   private final TargetQuotas quotas;
   private final Audience audience;
-  private final NewsExchange<LimitNews> exchange;
+  private final StateExchange<LimitNews> exchange;
   private final MillisClock clock;
   private final Map<String, Long> heardMs = new HashMap<>();
   private Optional<QuotaIssuer> issuer = Optional.empty();
   private int inheritedGateways;
   private long gainedMs;
 
-  QuotaDesk(String process, TargetQuotas quotas, Audience audience, MillisClock clock) {
+  QuotaCoordinator(String process, TargetQuotas quotas, Audience audience, MillisClock clock) {
     this.process = process;
     this.quotas = quotas;
     this.audience = audience;
-    this.exchange = new NewsExchange<>(this, audience);
+    this.exchange = new StateExchange<>(this, audience);
     this.clock = clock;
   }
 
@@ -74,8 +74,8 @@
   }
 
   /** The holder, unless it is this gateway, and its deputies are these. */
-  void onConfidants(Optional<String> holderAddress, Collection<String> deputyAddresses) {
-    exchange.onConfidants(holderAddress, deputyAddresses);
+  void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputyAddresses) {
+    exchange.onHolderAndDeputies(holderAddress, deputyAddresses);
   }
 
   /** This gateway has seen the limits of targets begin, change or end. */
@@ -93,7 +93,7 @@
   }
 
   @Override
-  public Optional<LimitNews> lackedBy(LimitNews told) {
+  public Optional<LimitNews> missingFrom(LimitNews told) {
     Map<TargetId, LimitReport> known = new HashMap<>();
     told.reports().forEach(report -> known.put(report.target(), report));
     List<LimitReport> lacking = new ArrayList<>();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
@@ -15,15 +15,15 @@
 import java.util.Optional;
 
 /**
- * Connects the {@link QuotaDesk} of this gateway with its traffic and the other gateways. For the
- * control thread.
+ * Connects the {@link QuotaCoordinator} of this gateway with its traffic and the other gateways.
+ * For the control thread.
  */
-final class QuotaLink extends PeerAudience implements QuotaDesk.Audience {
+final class QuotaLink extends PeerAudience implements QuotaCoordinator.Audience {
 
   private final RoutingState state;
   private final ControlThread control;
   private final TargetQuotas quotas;
-  private final QuotaDesk desk;
+  private final QuotaCoordinator desk;
 
   QuotaLink(
       String process,
@@ -37,7 +37,7 @@
     this.state = state;
     this.control = control;
     this.quotas = quotas;
-    this.desk = new QuotaDesk(process, quotas, this, clock);
+    this.desk = new QuotaCoordinator(process, quotas, this, clock);
   }
 
   void start() {
@@ -76,8 +76,9 @@
   }
 
   /** The holder, unless it is this gateway, its deputies and the number of gateways are these. */
-  void onConfidants(Optional<String> holderAddress, Collection<String> deputies, int gateways) {
-    desk.onConfidants(holderAddress, deputies);
+  void onHolderAndDeputies(
+      Optional<String> holderAddress, Collection<String> deputies, int gateways) {
+    desk.onHolderAndDeputies(holderAddress, deputies);
     quotas.setGateways(gateways);
     quotas.forget(target -> state.current().target(target).isPresent());
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RegistryFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RegistryFollower.java
@@ -61,7 +61,7 @@
   private final MillisClock clock;
   private final DecisionLog log;
   private final Runnable onChange;
-  private final StoreSilence silence;
+  private final StoreResponseMonitor silence;
   private final TargetRegister register = new TargetRegister();
   private final Map<TargetId, Long> removeAtMs = new HashMap<>();
   private final Set<TargetId> ended = new HashSet<>();
@@ -90,7 +90,7 @@
     this.log = log;
     this.onChange = onChange;
     this.confirmed = knownAt;
-    this.silence = new StoreSilence(clock, SILENT_AFTER_MS);
+    this.silence = new StoreResponseMonitor(clock, SILENT_AFTER_MS);
     register.replaceAll(known, true);
   }
 
@@ -216,7 +216,7 @@
     }
     long number = ++callNumber;
     silence.onCall(number, WAIT_MS);
-    WaitProof proof = new WaitProof(clock.upper(), clock.nowMs(), WAIT_MS);
+    WatchFreshness proof = new WatchFreshness(clock.upper(), clock.nowMs(), WAIT_MS);
     registry
         .changes(revision, WAIT_MS)
         .thenApply(changes -> noteArrival(number, isAnswered(changes), changes))
@@ -272,7 +272,7 @@
     }
   }
 
-  private UpperTime provedBy(RegistryChanges changes, WaitProof proof) {
+  private UpperTime provedBy(RegistryChanges changes, WatchFreshness proof) {
     boolean unchanged =
         changes.status() == RegistryChanges.Status.ANSWERED
             && changes.written().isEmpty()
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FirstLook.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StartupReader.java
@@ -27,7 +27,7 @@
  * tell anybody. What the store says is as good until then: a target that does not own a key any
  * more refuses it. For the control thread.
  */
-final class FirstLook {
+final class StartupReader {
 
   /** Learns what the store says. */
   interface Listener {
@@ -36,7 +36,7 @@
     void onTargets(List<FleetTarget> targets, UpperTime asOf);
 
     /** The store did not tell them. */
-    void onNoTargets();
+    void onTargetsUnavailable();
 
     /** The owners as the last holder wrote them. */
     void onOwners(List<ServiceRanges> owners);
@@ -49,7 +49,7 @@
   private final RecordCodec codec;
   private final Listener listener;
 
-  FirstLook(
+  StartupReader(
       GatewayPorts ports,
       ControlThread control,
       MillisClock clock,
@@ -77,7 +77,7 @@
     if (listing.available()) {
       listener.onTargets(listing.targets(), asked);
     } else {
-      listener.onNoTargets();
+      listener.onTargetsUnavailable();
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/NewsExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StateExchange.java
@@ -17,7 +17,7 @@
  *
  * @param <N> the message that tells of the matter
  */
-final class NewsExchange<N extends FleetMessage> {
+final class StateExchange<N extends FleetMessage> {
 
   /**
    * What this process knows of the matter.
@@ -33,7 +33,7 @@
     N complete();
 
     /** Returns what a process lacks that has told all it knows; empty if nothing. */
-    Optional<N> lackedBy(N told);
+    Optional<N> missingFrom(N told);
   }
 
   private final Knowledge<N> knowledge;
@@ -41,7 +41,7 @@
   private Optional<String> holder = Optional.empty();
   private Set<String> confidants = Set.of();
 
-  NewsExchange(Knowledge<N> knowledge, FleetAudience audience) {
+  StateExchange(Knowledge<N> knowledge, FleetAudience audience) {
     this.knowledge = knowledge;
     this.audience = audience;
   }
@@ -51,7 +51,7 @@
    *
    * @return those that were neither before; never null
    */
-  Set<String> onConfidants(Optional<String> holderAddress, Collection<String> deputies) {
+  Set<String> onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
     holder = holderAddress;
     Set<String> now = new LinkedHashSet<>(deputies);
     holderAddress.ifPresent(now::add);
@@ -80,6 +80,6 @@
 
   /** Another process has told all that it knows. */
   void onComplete(N told, Consumer<FleetMessage> sender) {
-    knowledge.lackedBy(told).ifPresent(sender);
+    knowledge.missingFrom(told).ifPresent(sender);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCalls.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCircuitBreaker.java
@@ -23,7 +23,7 @@
  *
  * @since 0.2
  */
-public final class StoreCalls implements StoreCallGuard {
+public final class StoreCircuitBreaker implements StoreCallGuard {
 
   /** Pause after the first refusal, before it is shortened at random: a short one is over then. */
   private static final long FIRST_PAUSE_MS = 200;
@@ -41,7 +41,7 @@
    * @param longestPauseMs how long the store may be back before this process notices; milliseconds;
    *     not null
    */
-  public StoreCalls(
+  public StoreCircuitBreaker(
       MillisClock clock,
       StoreCallMetrics metrics,
       RandomGenerator random,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreSilence.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreResponseMonitor.java
@@ -9,7 +9,7 @@
  * its own lateness for the store's silence: that would lift the bounds on the age of what it knows.
  * Safe for use by several threads.
  */
-final class StoreSilence {
+final class StoreResponseMonitor {
 
   private final MillisClock clock;
   private final long answerMs;
@@ -24,7 +24,7 @@
    * @param clock the time; not null
    * @param answerMs how long the store may take for an answer, beside its wait; milliseconds
    */
-  StoreSilence(MillisClock clock, long answerMs) {
+  StoreResponseMonitor(MillisClock clock, long answerMs) {
     this.clock = clock;
     this.answerMs = answerMs;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermNote.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermHolderRecord.java
@@ -8,4 +8,4 @@
  * @param peerAddress where gateways reach it; not null
  * @since 0.2
  */
-public record TermNote(String process, long nonce, String peerAddress) {}
+public record TermHolderRecord(String process, long nonce, String peerAddress) {}
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermLease.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermLease.java
@@ -91,7 +91,7 @@
   private final MillisClock clock;
   private final RandomGenerator random;
   private final DecisionLog log;
-  private final TermNote ownNote;
+  private final TermHolderRecord ownNote;
   private final boolean firstCandidate;
   private final double processorCores;
   private final long graceMs;
@@ -133,7 +133,7 @@
       RandomGenerator random,
       DecisionLog log,
       RecordCodec codec,
-      TermNote ownNote,
+      TermHolderRecord ownNote,
       boolean firstCandidate,
       double processorCores,
       long graceMs,
@@ -227,7 +227,7 @@
 
   /** Another process has proved that it holds a later term. */
   public void onReplaced() {
-    renounce("replaced");
+    relinquish("replaced");
   }
 
   /**
@@ -235,7 +235,7 @@
    *
    * @param why for the log; not null
    */
-  public void renounce(String why) {
+  public void relinquish(String why) {
     if (holding) {
       lose(why);
     }
@@ -270,7 +270,7 @@
    *
    * @return false for a process that does not hold it
    */
-  public boolean isConfirmedSinceWaking() {
+  public boolean isConfirmedSinceResume() {
     boolean sleptSince = suspendedMs() - confirmedSuspendedMs >= SUSPENDED_MS;
     return holding && !sleptSince && confirmed.compareTo(woken) >= 0;
   }
@@ -297,7 +297,7 @@
 
   private void onNote(StoreValue value) {
     try {
-      listener.onOtherHolder(codec.decode(value.value(), TermNote.class).peerAddress());
+      listener.onOtherHolder(codec.decode(value.value(), TermHolderRecord.class).peerAddress());
     } catch (CodedException unreadable) {
       log.write("term_unreadable", "revision={} why=\"{}\"", value.revision(), unreadable);
     }
@@ -307,7 +307,7 @@
    * Gives the term up to take it again at once: the store has come back from an older copy, and
    * what others know of the term is above what the store has of it.
    */
-  public void takeAgain() {
+  public void reacquire() {
     if (!holding) {
       return;
     }
@@ -403,7 +403,7 @@
 
   private boolean isOurs(StoreValue value) {
     try {
-      return codec.decode(value.value(), TermNote.class).equals(ownNote);
+      return codec.decode(value.value(), TermHolderRecord.class).equals(ownNote);
     } catch (CodedException unreadable) {
       log.write("term_unreadable", "revision={} why=\"{}\"", value.revision(), unreadable);
       return false;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermKnowledge.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermView.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.kernel.UpperTime;
 
 /** What this process knows of the term. For the control thread. */
-interface TermKnowledge {
+interface TermView {
 
   /**
    * Hears from another gateway who holds the term.
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/WaitProof.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/WatchFreshness.java
@@ -12,7 +12,7 @@
  * @param sentMs the same, by the lower bound of the clock; milliseconds
  * @param waitMs how long the store was to wait for a change; milliseconds
  */
-record WaitProof(UpperTime sent, long sentMs, long waitMs) {
+record WatchFreshness(UpperTime sent, long sentMs, long waitMs) {
 
   /**
    * Returns as of when an answer holds that has just arrived. Without a change the store looked
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashDeskTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashCoordinatorTest.java
@@ -14,7 +14,7 @@
  * A request ends one target after the other, seen by another gateway each time, in fleets whose
  * holder and deputies get lost meanwhile. Virtual time; the network loses what is under way.
  */
-class CrashDeskTest {
+class CrashCoordinatorTest {
 
   /** Everybody has to know so long after the third crash. */
   private static final long KNOWN_WITHIN_MS = 3_000;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
@@ -209,18 +209,18 @@
   }
 
   /** One gateway. */
-  private final class Member implements CrashDesk.Audience {
+  private final class Member implements CrashCoordinator.Audience {
 
     private final int index;
     private final MillisClock clock = () -> nowMs;
     private final RequestQuarantine quarantine = new RequestQuarantine(clock);
-    private final CrashDesk desk;
+    private final CrashCoordinator desk;
     private boolean alive = true;
 
     Member(int index) {
       this.index = index;
       DecisionLog log = new DecisionLog(clock, 1, line -> {});
-      this.desk = new CrashDesk(new CrashLedger(0), quarantine, this, clock, log);
+      this.desk = new CrashCoordinator(new CrashLedger(0), quarantine, this, clock, log);
       quarantine.onAnswered(this::onAnswered);
     }
 
@@ -237,7 +237,7 @@
           deputies.stream().filter(i -> i != index).map(i -> Integer.toString(i)).toList();
       Optional<String> followed =
           index == holder ? Optional.empty() : Optional.of(Integer.toString(holder));
-      desk.onConfidants(followed, named);
+      desk.onHolderAndDeputies(followed, named);
     }
 
     @Override
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureDeskTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureCoordinatorTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Fleets in which one gateway hears that a target leaves, and others are lost meanwhile. */
-class DepartureDeskTest {
+class DepartureCoordinatorTest {
 
   private static final TargetId TARGET = new TargetId("core-0");
   private static final int DEPUTIES = 2;
@@ -113,7 +113,7 @@
         }
       }
       boolean holds = member.index == holder;
-      member.desk.onConfidants(
+      member.desk.onHolderAndDeputies(
           holds ? Optional.empty() : Optional.of(Integer.toString(holder)), deputies);
       if (!holds) {
         Member holding = members.get(holder);
@@ -134,8 +134,8 @@
 
     private final int index;
     private Set<TargetId> leaving = new HashSet<>();
-    private final DepartureDesk desk =
-        new DepartureDesk(
+    private final DepartureCoordinator desk =
+        new DepartureCoordinator(
             this,
             () -> nowMs,
             new DecisionLog(() -> nowMs, 1, line -> {}),
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DeputiesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DeputiesTest.java
@@ -13,16 +13,16 @@
 
   @Test
   void whoKnowsOfNoDeputyFollowsTheStoreItself() {
-    assertThat(deputies.isNeeded()).isTrue();
+    assertThat(deputies.mustFollowStore()).isTrue();
     assertThat(deputies.next()).isEmpty();
   }
 
   @Test
   void deputiesFollowTheStoreAndOthersDoNot() {
     deputies.onNamed(List.of("a", "b"));
-    assertThat(deputies.isNeeded()).isFalse();
+    assertThat(deputies.mustFollowStore()).isFalse();
     deputies.onNamed(List.of("a", "own"));
-    assertThat(deputies.isNeeded()).isTrue();
+    assertThat(deputies.mustFollowStore()).isTrue();
   }
 
   @Test
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
@@ -163,7 +163,7 @@
   }
 
   /** As the lease of the term does it, without the store. */
-  private final class Terms implements TermKnowledge {
+  private final class Terms implements TermView {
 
     @Override
     public boolean onHeard(long term, String holderAddress, UpperTime at) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/GuardedStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/GuardedStore.java
@@ -14,7 +14,7 @@
 import java.util.function.BooleanSupplier;
 
 /** A store that never changes and turns calls away while told so; each call asks a guard first. */
-final class GuardedStore extends ReadableStore {
+final class GuardedStore extends ReadOnlyStore {
 
   private final VirtualClock clock;
   private final StoreCallGuard guard;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/HolderDutiesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/HolderDutiesTest.java
@@ -51,7 +51,7 @@
             new SplittableRandom(1),
             log,
             new RecordCodec(),
-            new TermNote("one", 1, "127.0.0.1:1"),
+            new TermHolderRecord("one", 1, "127.0.0.1:1"),
             true,
             1,
             9_500,
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashArchiveTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuarantineStoreTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class CrashArchiveTest {
+class QuarantineStoreTest {
 
   private final MemoryStore memory = new MemoryStore();
   private final ControlThread control = new ControlThread("test", FailureHandler.logging());
   private final DecisionLog log = new DecisionLog(() -> 0, 100, line -> {});
   private final List<CrashNews> read = new ArrayList<>();
-  private final CrashArchive first = archive(news -> {});
-  private final CrashArchive second = archive(read::add);
+  private final QuarantineStore first = archive(news -> {});
+  private final QuarantineStore second = archive(read::add);
 
   @AfterEach
   void tearDown() {
@@ -75,15 +75,15 @@
 
   @Test
   void whatCannotBeReadIsReplaced() {
-    memory.write(CrashArchive.KEY, new byte[] {1, 2}, KeyValueStore.ABSENT, Optional.empty());
+    memory.write(QuarantineStore.KEY, new byte[] {1, 2}, KeyValueStore.ABSENT, Optional.empty());
     run(second::open);
     run(() -> second.keep(news(3)));
     run(second::open);
     assertThat(read).containsExactly(news(3));
   }
 
-  private CrashArchive archive(Consumer<CrashNews> onRead) {
-    return new CrashArchive(memory, control, log, new RecordCodec(), onRead);
+  private QuarantineStore archive(Consumer<CrashNews> onRead) {
+    return new QuarantineStore(memory, control, log, new RecordCodec(), onRead);
   }
 
   private static CrashNews news(int number) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaDeskTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaCoordinatorTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Guards against gateways that together exceed the limit of a target, or waste it. */
-class QuotaDeskTest {
+class QuotaCoordinatorTest {
 
   /** The whole fleet knows of a limit after this time. */
   private static final long KNOWN_MS = 3_000;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
@@ -163,11 +163,11 @@
   }
 
   /** One gateway. */
-  private final class Member implements QuotaDesk.Audience {
+  private final class Member implements QuotaCoordinator.Audience {
 
     private final int index;
     private final QuotaTraffic traffic;
-    private final QuotaDesk desk;
+    private final QuotaCoordinator desk;
     private final List<Integer> waiting = new ArrayList<>();
     private boolean cut;
 
@@ -181,7 +181,7 @@
                 return () -> {};
               },
               new SplittableRandom(random.nextLong()));
-      this.desk = new QuotaDesk("gateway-" + index, traffic.quotas(), this, () -> nowMs);
+      this.desk = new QuotaCoordinator("gateway-" + index, traffic.quotas(), this, () -> nowMs);
       traffic.quotas().onLimit(desk::onSeen);
       traffic.quotas().onAsk(desk::ask);
       traffic.onUsable(service -> lookAgain());
@@ -257,7 +257,7 @@
       }
       Optional<String> followed =
           index == holder ? Optional.empty() : Optional.of(Integer.toString(holder));
-      desk.onConfidants(followed, deputies);
+      desk.onHolderAndDeputies(followed, deputies);
       traffic.quotas().setGateways(members.size());
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReadableStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReadOnlyStore.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A store for tests that write nothing and need no lease: such a call is a fault of the test. */
-abstract class ReadableStore implements KeyValueStore {
+abstract class ReadOnlyStore implements KeyValueStore {
 
   @Override
   public CompletableFuture<WriteResult> write(
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryRunsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryIncarnationTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Departures that the watch of the registry tells, of the run that is known or a later one. */
-class RegistryRunsTest {
+class RegistryIncarnationTest {
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final VirtualRegistry registry = new VirtualRegistry(clock);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
@@ -68,7 +68,7 @@
           new SplittableRandom(1),
           log,
           new RecordCodec(),
-          new TermNote("one", 1, "127.0.0.1:1"),
+          new TermHolderRecord("one", 1, "127.0.0.1:1"),
           false,
           1,
           GRACE_MS,
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FirstLookTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StartupReaderTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class FirstLookTest {
+class StartupReaderTest {
 
   private static final long ASKED_MS = 7;
   private static final ServiceId SERVICE = new ServiceId("core");
@@ -87,7 +87,8 @@
     GatewayPorts ports =
         new GatewayPorts(memory, "configuration", null, new Registry(registryAnswers), null, null);
     DecisionLog log = new DecisionLog(() -> 0, 100, line -> {});
-    FirstLook look = new FirstLook(ports, control, () -> ASKED_MS, log, codec, new Findings());
+    StartupReader look =
+        new StartupReader(ports, control, () -> ASKED_MS, log, codec, new Findings());
     control.execute(look::readOwners);
     control.execute(look::listTargets);
     for (int turn = 0; turn < 5; turn++) {
@@ -98,7 +99,7 @@
   }
 
   /** Keeps what was found. */
-  private final class Findings implements FirstLook.Listener {
+  private final class Findings implements StartupReader.Listener {
 
     @Override
     public void onTargets(List<FleetTarget> found, UpperTime asOf) {
@@ -107,7 +108,7 @@
     }
 
     @Override
-    public void onNoTargets() {
+    public void onTargetsUnavailable() {
       noTargets.complete(null);
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCallsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCircuitBreakerTest.java
@@ -27,7 +27,7 @@
  * <p>Pattern: 33 of 95 gateways are answered 503 and 429 at once for 9 s, while each follows two
  * keys and the registry. Without a shared breaker they made 1,400 calls a second.
  */
-class StoreCallsTest {
+class StoreCircuitBreakerTest {
 
   private static final long LONGEST_PAUSE_MS = 2_000;
   private static final long ANSWER_MS = 4;
@@ -45,8 +45,8 @@
   private final StoreCallMetrics metrics = new StoreCallMetrics();
   private boolean refusing;
 
-  private StoreCalls newGuard() {
-    return new StoreCalls(clock, metrics, random.split(), () -> LONGEST_PAUSE_MS);
+  private StoreCircuitBreaker newGuard() {
+    return new StoreCircuitBreaker(clock, metrics, random.split(), () -> LONGEST_PAUSE_MS);
   }
 
   @Test
@@ -85,7 +85,7 @@
 
   @Test
   void keepingTheTermIsNeverHeldBack() {
-    StoreCalls guard = newGuard();
+    StoreCircuitBreaker guard = newGuard();
     guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallEnd.REFUSED);
     assertThat(guard.begin(StoreCall.WATCH)).isEmpty();
     assertThat(guard.begin(StoreCall.LEASE_KEEP)).isPresent();
@@ -95,14 +95,14 @@
 
   @Test
   void anAnswerToKeepingTheTermSaysNothingOfOtherCalls() {
-    StoreCalls guard = newGuard();
+    StoreCircuitBreaker guard = newGuard();
     guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallEnd.REFUSED);
     long kept = beginOrFail(guard, StoreCall.LEASE_KEEP);
     guard.onEnded(StoreCall.LEASE_KEEP, kept, StoreCallEnd.ANSWERED);
     assertThat(guard.begin(StoreCall.WATCH)).isEmpty();
   }
 
-  private static long beginOrFail(StoreCalls guard, StoreCall call) {
+  private static long beginOrFail(StoreCircuitBreaker guard, StoreCall call) {
     OptionalLong number = guard.begin(call);
     assertThat(number).isPresent();
     return number.getAsLong();
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreSilenceTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreResponseMonitorTest.java
@@ -5,13 +5,13 @@
 import io.cuminvalve.testkit.time.VirtualClock;
 import org.junit.jupiter.api.Test;
 
-class StoreSilenceTest {
+class StoreResponseMonitorTest {
 
   private static final long ANSWER_MS = 300;
   private static final long WAIT_MS = 400;
 
   private final VirtualClock clock = new VirtualClock(10_000);
-  private final StoreSilence silence = new StoreSilence(clock, ANSWER_MS);
+  private final StoreResponseMonitor silence = new StoreResponseMonitor(clock, ANSWER_MS);
 
   @Test
   void whoHasAskedNothingHearsNoSilence() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermLeaseTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermLeaseTest.java
@@ -34,7 +34,7 @@
           new SplittableRandom(1),
           new DecisionLog(this::nowMs, 100, line -> {}),
           new RecordCodec(),
-          new TermNote("one", 1, "10.0.0.1:1"),
+          new TermHolderRecord("one", 1, "10.0.0.1:1"),
           false,
           1,
           GRACE_MS,
@@ -50,19 +50,19 @@
     control.execute(lease::start);
     steady.advance(1_000);
     assertThat(events).containsExactly("gained");
-    assertThat(lease.isConfirmedSinceWaking()).isTrue();
+    assertThat(lease.isConfirmedSinceResume()).isTrue();
   }
 
   @Test
   void nothingCountsAfterWakingBeforeTheStoreHasConfirmed() {
     store.holdAnswers();
     suspend(5_000);
-    assertThat(lease.isConfirmedSinceWaking()).isFalse();
+    assertThat(lease.isConfirmedSinceResume()).isFalse();
     steady.advance(50);
-    assertThat(lease.isConfirmedSinceWaking()).isFalse();
+    assertThat(lease.isConfirmedSinceResume()).isFalse();
     store.answer(StoreOutcome.DONE);
     steady.advance(1);
-    assertThat(lease.isConfirmedSinceWaking()).isTrue();
+    assertThat(lease.isConfirmedSinceResume()).isTrue();
     assertThat(events).containsExactly("gained");
   }
 
@@ -73,7 +73,7 @@
     store.answer(StoreOutcome.CONFLICT);
     steady.advance(1);
     assertThat(events).containsExactly("gained", "lost").inOrder();
-    assertThat(lease.isConfirmedSinceWaking()).isFalse();
+    assertThat(lease.isConfirmedSinceResume()).isFalse();
   }
 
   /** By then the next holder counts on it that this one has stopped. */
@@ -88,7 +88,7 @@
   void theHolderTakesItsTermAgainAtOnce() {
     store.vacateOnEnd();
     control.execute(lease::onStoreCameBack);
-    control.execute(lease::takeAgain);
+    control.execute(lease::reacquire);
     steady.advance(50);
     assertThat(events).containsExactly("gained", "lost", "gained").inOrder();
   }
@@ -113,7 +113,7 @@
   void othersLetTheFormerHolderGoFirst() {
     store.vacateOnEnd();
     control.execute(lease::onStoreCameBack);
-    control.execute(() -> lease.renounce("test"));
+    control.execute(() -> lease.relinquish("test"));
     steady.advance(1_000);
     assertThat(events).containsExactly("gained", "lost").inOrder();
     steady.advance(1_000);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WaitBoundsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchDelayBoundsTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What silent connections, slow answers and refused calls may cost at most. */
-class WaitBoundsTest {
+class WatchDelayBoundsTest {
 
   private static final long IN_FORCE_MS = 2_000;
   private static final long WIDE_IN_FORCE_MS = 2_000;
@@ -192,7 +192,8 @@
     store.put((byte) 1);
     ConfigurationWatch watch =
         new ConfigurationWatch(
-            new GatewayPorts(store, "configuration", WaitBoundsTest::decode, null, null, null),
+            new GatewayPorts(
+                store, "configuration", WatchDelayBoundsTest::decode, null, null, null),
             new RoutingState(1),
             control,
             clock,
@@ -207,7 +208,7 @@
       store.put((byte) version);
       for (long ms = 0; ms < 900; ms += BEAT_MS) {
         clock.advance(BEAT_MS);
-        sent |= watch.lackedBy(lacking).isPresent();
+        sent |= watch.missingFrom(lacking).isPresent();
       }
     }
     assertThat(sent).isTrue();
@@ -252,7 +253,7 @@
             new SplittableRandom(1),
             log,
             new RecordCodec(),
-            new TermNote("one", 1, "127.0.0.1:1"),
+            new TermHolderRecord("one", 1, "127.0.0.1:1"),
             true,
             1,
             9_500,
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WaitProofTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchFreshnessTest.java
@@ -5,10 +5,10 @@
 import io.cuminvalve.kernel.UpperTime;
 import org.junit.jupiter.api.Test;
 
-class WaitProofTest {
+class WatchFreshnessTest {
 
   private static final UpperTime SENT = new UpperTime(15_000);
-  private static final WaitProof PROOF = new WaitProof(SENT, 10_000, 500);
+  private static final WatchFreshness PROOF = new WatchFreshness(SENT, 10_000, 500);
 
   @Test
   void withoutChangeTheWholeWaitIsProved() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchedStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchedStore.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A store with one key that answers waiting calls when it changes, unless they fell silent. */
-final class WatchedStore extends ReadableStore {
+final class WatchedStore extends ReadOnlyStore {
 
   private final VirtualClock clock;
   private Optional<StoreValue> value = Optional.empty();
