--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ConfigurationWatch.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ConfigurationWatch.java
@@ -17,27 +17,31 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps the newest configuration in force, and never an older one after it.
+ * Keeps the newest configuration in force and never replaces it by an older one.
  *
- * <p>The holder of the term and its deputies wait at the store; they confirm to every gateway that
- * it missed nothing, or tell what it missed. A configuration that cannot be read leaves the last
- * good one in force. All methods are for the control thread.
+ * <p>The holder of the term and its deputies watch the store. They confirm to every other gateway
+ * that its configuration is current, or send it the newer one. If a configuration cannot be
+ * decoded, the previous one stays in force. All methods run on the control thread.
  *
  * @since 0.2
  */
 public final class ConfigurationWatch {
 
-  /** Pause after a call that failed: short, since a change has to be in force within 2 s. */
+  /** Delay after a failed call. Short, because a change must be in force within 2 s. */
   private static final long RETRY_MS = 150;
 
   /**
-   * A gateway that still lacks a configuration so long after this one has had it is sent it:
-   * several times what the store takes, and half of the time in which it has to be in force.
+   * How long after this gateway received a configuration it is sent to a gateway that still lacks
+   * it. This is several times the response time of the store and half of the time within which a
+   * configuration must be in force.
    */
-  private static final long LAG_MS = 1_000;
+  private static final long LAG_LIMIT_MS = 1_000;
 
-  /** Changes of several seconds, at dozens a second; whoever lacks more than these lags anyway. */
-  private static final int MAX_REMEMBERED = 128;
+  /**
+   * Number of revisions whose time of arrival is kept. This covers several seconds at dozens of
+   * changes per second; a gateway that misses more revisions lags in any case.
+   */
+  private static final int MAX_TRACKED_REVISIONS = 128;
 
   private final GatewayPorts ports;
   private final RoutingState state;
@@ -45,22 +49,22 @@
   private final DecisionLog log;
   private final KeyFollower follower;
   private final Consumer<StoreValue> onInForce;
-  private boolean connected = true;
+  private boolean storeAvailable = true;
   private Optional<StoreValue> newest = Optional.empty();
 
-  /** Since when each revision is known; the oldest are forgotten. */
-  private final NavigableMap<Long, Long> sinceMs = new TreeMap<>();
+  /** Time of arrival of each revision; the oldest entries are evicted. */
+  private final NavigableMap<Long, Long> receivedMs = new TreeMap<>();
 
   /**
-   * Creates a watch that does nothing yet.
+   * Creates a watch that is not started.
    *
    * @param ports the store and the decoder; not null
-   * @param state where the configuration goes; not null
+   * @param state receives the configuration; not null
    * @param control the thread that owns the state; not null
    * @param clock the time; not null
-   * @param log takes decisions; not null
+   * @param log the decision log; not null
    * @param reliance how far the holder and its deputies are relied on; not null
-   * @param onInForce hears of each configuration that is in force from now on; not null
+   * @param onInForce called for each configuration that comes into force; not null
    */
   public ConfigurationWatch(
       GatewayPorts ports,
@@ -87,27 +91,27 @@
             this::onResult);
   }
 
-  /** Starts to watch. */
+  /** Starts watching. */
   public void start() {
     follower.start();
   }
 
-  /** Ends the watch. */
+  /** Stops watching. */
   public void close() {
     follower.close();
   }
 
   private void onResult(WatchResult result) {
     boolean answered = result.event() != WatchResult.Event.UNAVAILABLE;
-    if (answered != connected) {
-      connected = answered;
+    if (answered != storeAvailable) {
+      storeAvailable = answered;
       log.write(answered ? "store_regained" : "store_lost", "by=configuration_watch");
     }
     result.value().ifPresent(this::install);
   }
 
   /**
-   * Returns the configuration in force, as operators wrote it.
+   * Returns the stored value of the configuration in force.
    *
    * @return empty if none is known
    */
@@ -116,16 +120,16 @@
   }
 
   /**
-   * Returns the newest revision of the configuration that is known.
+   * Returns the newest known revision of the configuration.
    *
-   * @return 0 if none is
+   * @return 0 if none is known
    */
   public long revision() {
     return follower.revision();
   }
 
   /**
-   * Returns for how long neither the store nor the holder has confirmed what is known.
+   * Returns the time since the store or the holder last confirmed the configuration.
    *
    * @return milliseconds
    */
@@ -134,7 +138,7 @@
   }
 
   /**
-   * Returns when what is known was last confirmed to be the newest. For any thread.
+   * Returns when the configuration was last confirmed to be the newest. Thread-safe.
    *
    * @return {@link UpperTime#NEVER} if it never was; never null
    */
@@ -143,35 +147,35 @@
   }
 
   /**
-   * Learns which revision another gateway knows.
+   * Processes the newest revision that another gateway knows.
    *
-   * @param known the revision; 0 if it knows none
-   * @param at when the store told it so; not null
+   * @param known the revision; 0 if that gateway knows none
+   * @param at when the store confirmed the revision to that gateway; not null
    */
   public void onHeard(long known, UpperTime at) {
-    follower.onHeard(known, at);
+    follower.onPeerRevision(known, at);
   }
 
   /**
-   * Takes a configuration from another gateway.
+   * Applies a configuration received from another gateway.
    *
-   * @param value what that gateway knows; not null
+   * @param value the configuration that gateway knows; not null
    */
   public void onNews(StoreValue value) {
-    // A store that came back older shows an older version under a later revision.
-    follower.onTaken(value.revision());
+    // A store restored from an older copy has an older version under a later revision.
+    follower.advanceTo(value.revision());
     install(value);
   }
 
   /**
-   * Returns what a gateway lacks that should have it by now.
+   * Returns the configuration to send to a gateway that should have it by now.
    *
-   * @param known the newest revision that it knows
-   * @return empty if it lacks nothing, or may still learn of it by itself
+   * @param known the newest revision that the gateway knows
+   * @return empty if the gateway is up to date or may still receive the change from the store
    */
   public Optional<StoreValue> missingFrom(long known) {
-    Map.Entry<Long, Long> firstMissed = sinceMs.higherEntry(known);
-    boolean lags = firstMissed != null && clock.nowMs() - firstMissed.getValue() > LAG_MS;
+    Map.Entry<Long, Long> firstMissed = receivedMs.higherEntry(known);
+    boolean lags = firstMissed != null && clock.nowMs() - firstMissed.getValue() > LAG_LIMIT_MS;
     return lags ? newest : Optional.empty();
   }
 
@@ -192,9 +196,9 @@
       return;
     }
     newest = Optional.of(value);
-    sinceMs.put(value.revision(), clock.nowMs());
-    if (sinceMs.size() > MAX_REMEMBERED) {
-      sinceMs.pollFirstEntry();
+    receivedMs.put(value.revision(), clock.nowMs());
+    if (receivedMs.size() > MAX_TRACKED_REVISIONS) {
+      receivedMs.pollFirstEntry();
     }
     state.update(snapshot -> snapshot.withConfiguration(next));
     log.write("configuration_in_force", "version={} revision={}", next.version(), value.revision());
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
@@ -12,36 +12,40 @@
 import java.util.function.Consumer;
 
 /**
- * Follows one key of the store, with a bound on how old its knowledge may grow.
+ * Follows one key of the store with a bound on the age of its data.
  *
- * <p>Changes are rare, so it waits long for the next one while others confirm that it missed
- * nothing. Where it relies on them entirely it does not wait at all, but looks once when they tell
- * of a change or fall silent. A connection may fall silent without a sign: a wait of 30 s on it
- * would hide every change for as long. So knowledge that nobody confirms for a while ends the long
- * wait; from then on waits are short, and one whose answer is overdue is taken up anew on another
- * connection. All methods are for the control thread.
+ * <p>Changes are rare, so the follower uses a long poll of the store while other gateways confirm
+ * that it has not missed a change. If it relies on them entirely, it does not poll. It then reads
+ * the store once when a peer reports a change or when confirmations stop. A connection can stop
+ * carrying data without an error, and a long poll of 30 s on it would hide every change for that
+ * time. The long poll is therefore abandoned when the data remains unconfirmed for too long.
+ * Further polls are short, and a poll with an overdue response is repeated on another connection.
+ * All methods run on the control thread.
  */
 final class KeyFollower {
 
-  /** How long a call waits while others confirm what is known; the longest the store allows. */
+  /** Wait of a poll while peers confirm the data; the maximum that the store allows. */
   static final long LONG_WAIT_MS = 30_000;
 
-  /** How long it waits otherwise: two calls a second, and a quarter of what a change may take. */
+  /**
+   * Wait of a poll otherwise. It costs two calls per second and is a quarter of the time in which a
+   * change must take effect.
+   */
   static final long SHORT_WAIT_MS = 500;
 
-  /** An answer is overdue so long after the wait, at first: a slow store takes up to 240 ms. */
+  /** Initial time after the wait until a response is overdue. A slow store takes up to 240 ms. */
   static final long ANSWER_MS = 400;
 
   /**
-   * Each overdue answer doubles that, up to this, so that an answer that is large or slow arrives
-   * at last; the call itself ends no later.
+   * Upper bound for {@link #ANSWER_MS}, which each overdue response doubles so that a large or slow
+   * response eventually arrives. The call itself does not last longer.
    */
   private static final long MAX_ANSWER_MS = 1_500;
 
-  /** How long after the news of a change from others the store's own answer is waited for. */
-  private static final long NEWS_GRACE_MS = 100;
+  /** How long to wait for the response of the store after a peer has reported a change. */
+  private static final long PEER_REVISION_GRACE_MS = 100;
 
-  /** Pause between two looks at the age. */
+  /** Interval between two checks of the age. */
   private static final long CHECK_MS = 100;
 
   private final KeyValueStore store;
@@ -56,31 +60,31 @@
   private boolean mustRead;
   private long answerMs = ANSWER_MS;
   private long revision;
-  private volatile UpperTime answered = UpperTime.NEVER;
-  private volatile UpperTime heard = UpperTime.NEVER;
-  private long newerHeardMs;
-  private long newerHeardCall;
-  private long newestHeard;
+  private volatile UpperTime confirmedByStore = UpperTime.NEVER;
+  private volatile UpperTime confirmedByPeers = UpperTime.NEVER;
+  private long peerRevisionMs;
+  private long peerRevisionCall;
+  private long newestPeerRevision;
   private long callNumber;
-  private boolean waiting;
-  private boolean resting;
+  private boolean pending;
+  private boolean idle;
   private boolean absent;
   private long sentMs;
   private UpperTime sent = UpperTime.NEVER;
   private long waitMs;
-  private Future<?> checking;
+  private Future<?> checkTask;
 
   /**
-   * Creates a follower that does nothing yet.
+   * Creates a follower that is not started.
    *
-   * @param store where the key is; not null
+   * @param store the store that has the key; not null
    * @param key the key; not null
    * @param control the control thread; not null
    * @param clock the time; not null
-   * @param log takes decisions; not null
-   * @param retryMs pause after a call that failed, and while the key does not exist; milliseconds
-   * @param reliance how far others are relied on; not null
-   * @param listener takes the end of each wait; not null
+   * @param log the decision log; not null
+   * @param retryMs delay after a failed call and while the key does not exist; milliseconds
+   * @param reliance how far other gateways are relied on; not null
+   * @param listener receives the result of each call; not null
    */
   KeyFollower(
       KeyValueStore store,
@@ -101,88 +105,88 @@
     this.listener = listener;
   }
 
-  /** Begins, or goes on from what is known. */
+  /** Starts, or resumes from the newest known revision. */
   void start() {
     if (!open) {
       open = true;
-      checking = control.scheduleRepeatedly(this::check, CHECK_MS);
+      checkTask = control.scheduleRepeatedly(this::check, CHECK_MS);
       call();
     }
   }
 
-  /** Ends; answers that are under way are ignored, so the next start reads the key first. */
+  /** Stops. Pending responses are ignored, so the next start reads the key first. */
   void close() {
     if (open) {
       open = false;
       mustRead = true;
-      waiting = false;
-      resting = false;
+      pending = false;
+      idle = false;
       callNumber++;
-      checking.cancel(false);
+      checkTask.cancel(false);
     }
   }
 
-  /** Returns the newest revision that was seen; 0 if none was. */
+  /** Returns the newest known revision; 0 if none is known. */
   long revision() {
     return revision;
   }
 
-  /** Returns for how long nobody has confirmed what is known; milliseconds. */
+  /** Returns the time since the data was last confirmed; milliseconds. */
   long ageMs() {
     return clock.upper().sinceMs(confirmed());
   }
 
-  /** Returns when what is known was last confirmed, by the store or by others; for any thread. */
+  /** Returns when the store or a peer last confirmed the data. Thread-safe. */
   UpperTime confirmed() {
-    return answered.latest(heard);
+    return confirmedByStore.latest(confirmedByPeers);
   }
 
-  /** Tells whether the key did not exist when the store was asked last. */
+  /** Returns whether the key did not exist at the last response of the store. */
   boolean isAbsent() {
     return absent;
   }
 
-  private boolean isConfirmedByOthers() {
-    return newestHeard <= revision && isFresh();
+  private boolean isConfirmedByPeers() {
+    return newestPeerRevision <= revision && isFresh();
   }
 
   private boolean isFresh() {
-    return clock.upper().sinceMs(heard) <= reliance.maxAgeMs().getAsLong();
+    return clock.upper().sinceMs(confirmedByPeers) <= reliance.maxAgeMs().getAsLong();
   }
 
-  /** Tells whether the store need not be asked now. */
-  private boolean mayRest() {
-    if (!reliance.isEntire().getAsBoolean() || newestHeard > revision) {
+  /** Returns whether peers confirm the data, so that no call is needed now. */
+  private boolean canSkipCall() {
+    if (!reliance.isEntire().getAsBoolean() || newestPeerRevision > revision) {
       return false;
     }
-    // Who comes next matters more while there is nothing.
-    // The next look at the age is a pause later.
-    return absent ? isConfirmedByOthers() : ageMs() + CHECK_MS <= reliance.maxAgeMs().getAsLong();
+    // A new value must be detected sooner while the key is absent.
+    // The next check of the age is one interval later.
+    return absent ? isConfirmedByPeers() : ageMs() + CHECK_MS <= reliance.maxAgeMs().getAsLong();
   }
 
   /**
-   * Learns from another process what it knows of the key.
+   * Processes the newest revision of the key that another process knows.
    *
-   * @param known the newest revision that it knows
-   * @param at when the store told it so; not null
+   * @param known the newest revision known to that process
+   * @param at when the store confirmed the revision to that process; not null
    */
-  void onHeard(long known, UpperTime at) {
+  void onPeerRevision(long known, UpperTime at) {
     if (known == revision) {
-      heard = heard.latest(at);
-    } else if (known > revision && known > newestHeard) {
-      newestHeard = known;
-      newerHeardMs = clock.nowMs();
-      newerHeardCall = callNumber;
-      if (resting) {
+      confirmedByPeers = confirmedByPeers.latest(at);
+    } else if (known > revision && known > newestPeerRevision) {
+      newestPeerRevision = known;
+      peerRevisionMs = clock.nowMs();
+      peerRevisionCall = callNumber;
+      if (idle) {
         call();
       }
     }
   }
 
-  /** Learns a value's revision, and elsewhere the value, from another process: it is seen. */
-  void onTaken(long taken) {
-    if (taken > revision) {
-      revision = taken;
+  /** Advances to the revision of a value that was obtained from another process. */
+  void advanceTo(long newRevision) {
+    if (newRevision > revision) {
+      revision = newRevision;
       absent = false;
     }
   }
@@ -191,19 +195,19 @@
     sentMs = clock.nowMs();
     sent = clock.upper();
     waitMs = nextWaitMs();
-    waiting = true;
-    resting = false;
+    pending = true;
+    idle = false;
     long number = ++callNumber;
     if (mustRead) {
       waitMs = 0;
-      UpperTime proved = sent;
-      store.read(key).thenAcceptAsync(result -> onRead(number, result, proved), control);
+      UpperTime validAsOf = sent;
+      store.read(key).thenAcceptAsync(result -> onRead(number, result, validAsOf), control);
     } else {
-      WatchFreshness proof = new WatchFreshness(sent, sentMs, waitMs);
+      WatchFreshness freshness = new WatchFreshness(sent, sentMs, waitMs);
       store
           .watch(key, revision, waitMs)
-          .thenApply(result -> new Answer(result, provedBy(result, proof)))
-          .thenAcceptAsync(answer -> onResult(number, answer.result, answer.proved), control);
+          .thenApply(result -> new Answer(result, validAsOf(result, freshness)))
+          .thenAcceptAsync(answer -> onResult(number, answer.result, answer.validAsOf), control);
     }
   }
 
@@ -211,27 +215,27 @@
     if (reliance.isEntire().getAsBoolean() && !absent) {
       return 0;
     }
-    return isConfirmedByOthers() ? LONG_WAIT_MS : SHORT_WAIT_MS;
+    return isConfirmedByPeers() ? LONG_WAIT_MS : SHORT_WAIT_MS;
   }
 
-  private void callOrRest() {
-    if (mayRest()) {
-      resting = true;
+  private void callUnlessConfirmed() {
+    if (canSkipCall()) {
+      idle = true;
     } else {
       call();
     }
   }
 
-  private void onRead(long number, ReadResult result, UpperTime proved) {
+  private void onRead(long number, ReadResult result, UpperTime validAsOf) {
     mustRead &= !(open && result.isDone());
-    onResult(number, result.toWatchResult(revision), proved);
+    onResult(number, result.toWatchResult(revision), validAsOf);
   }
 
   /**
-   * Takes an answer. One that arrived while its call was being given up counts as well: the store
-   * does not tell that change again.
+   * Processes a response. A response that arrives after its call was abandoned counts too, because
+   * the store does not report that change again.
    */
-  private void onResult(long number, WatchResult result, UpperTime proved) {
+  private void onResult(long number, WatchResult result, UpperTime validAsOf) {
     boolean answered = result.event() != WatchResult.Event.UNAVAILABLE;
     boolean isNewest = number == callNumber;
     if (!open || !(isNewest || answered)) {
@@ -242,45 +246,45 @@
       listener.accept(result);
       return;
     }
-    waiting = false;
+    pending = false;
     if (answered) {
       noteAnswer(result);
     }
     listener.accept(result);
     if (answered) {
-      this.answered = this.answered.latest(proved);
+      confirmedByStore = confirmedByStore.latest(validAsOf);
     }
     callAgain(result.event());
   }
 
   private void callAgain(WatchResult.Event event) {
-    if (!open || waiting) {
+    if (!open || pending) {
       return;
     }
     if (event == WatchResult.Event.CHANGED || event == WatchResult.Event.UNCHANGED) {
-      callOrRest();
+      callUnlessConfirmed();
     } else {
-      control.schedule(this::callUnlessWaiting, retryMs);
+      control.schedule(this::callUnlessPending, retryMs);
     }
   }
 
-  private UpperTime provedBy(WatchResult result, WatchFreshness proof) {
-    return proof.onAnswer(result.event() == WatchResult.Event.UNCHANGED, clock.nowMs());
+  private UpperTime validAsOf(WatchResult result, WatchFreshness freshness) {
+    return freshness.validAsOf(result.event() == WatchResult.Event.UNCHANGED, clock.nowMs());
   }
 
   private void noteAnswer(WatchResult result) {
     answerMs = Math.max(ANSWER_MS, answerMs / 2);
     if (result.event() != WatchResult.Event.UNCHANGED) {
       absent = result.event() == WatchResult.Event.ABSENT;
-    } else if (reliance.isEntire().getAsBoolean() && callNumber > newerHeardCall) {
-      // What was told since is gone again: without a wait it would be asked for without end.
-      newestHeard = Math.min(newestHeard, revision);
+    } else if (reliance.isEntire().getAsBoolean() && callNumber > peerRevisionCall) {
+      // The reported revision no longer exists. Keeping it would repeat calls without a pause.
+      newestPeerRevision = Math.min(newestPeerRevision, revision);
     }
   }
 
-  private void callUnlessWaiting() {
-    if (open && !waiting && !resting) {
-      callOrRest();
+  private void callUnlessPending() {
+    if (open && !pending && !idle) {
+      callUnlessConfirmed();
     }
   }
 
@@ -288,15 +292,15 @@
     if (!open) {
       return;
     }
-    if (resting && !mayRest()) {
+    if (idle && !canSkipCall()) {
       call();
-    } else if (waiting) {
-      renewIfNeeded();
+    } else if (pending) {
+      repeatIfNeeded();
     }
   }
 
-  private void renewIfNeeded() {
-    reasonToRenew()
+  private void repeatIfNeeded() {
+    reasonToRepeat()
         .ifPresent(
             why -> {
               log.write(
@@ -305,17 +309,19 @@
                   key,
                   why,
                   revision,
-                  newestHeard,
+                  newestPeerRevision,
                   clock.nowMs() - sentMs,
                   ageMs());
               call();
             });
   }
 
-  /** Tells why the wait that is under way must not be relied on any longer. */
-  private Optional<String> reasonToRenew() {
+  /** Returns why the pending call must be repeated, if it must. */
+  private Optional<String> reasonToRepeat() {
     long nowMs = clock.nowMs();
-    if (newestHeard > revision && sentMs <= newerHeardMs && nowMs - newerHeardMs > NEWS_GRACE_MS) {
+    if (newestPeerRevision > revision
+        && sentMs <= peerRevisionMs
+        && nowMs - peerRevisionMs > PEER_REVISION_GRACE_MS) {
       return Optional.of("change_missed");
     }
     if (nowMs - sentMs > waitMs + answerMs) {
@@ -325,6 +331,6 @@
     return waitMs > SHORT_WAIT_MS && !isFresh() ? Optional.of("unconfirmed") : Optional.empty();
   }
 
-  /** What the store answered, and as of when that is known to hold. */
-  private record Answer(WatchResult result, UpperTime proved) {}
+  /** A response of the store and the time as of which it is valid. */
+  private record Answer(WatchResult result, UpperTime validAsOf) {}
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RegistryFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RegistryFollower.java
@@ -20,40 +20,50 @@
 import java.util.Set;
 
 /**
- * Follows the registry of targets for as long as it is open.
+ * Follows the registry of targets while it is open.
  *
- * <p>Targets rewrite their entries all the time, so a watch that were taken up at once would return
- * dozens of times a second; it is taken up at a pace. An entry that vanished while the registry was
- * out of reach may come back: it is kept for a while. All methods are for the control thread.
+ * <p>Targets rewrite their entries frequently, so a watch that is repeated immediately would return
+ * dozens of times per second. A pause between watches limits the rate. An entry that disappeared
+ * while the registry was unreachable may reappear, so it is kept for some time. All methods run on
+ * the control thread.
  *
  * @since 0.2
  */
 final class RegistryFollower {
 
-  /** Pause between two calls: a target that leaves must get nothing after 2 s. */
+  /** Pause between two calls. A leaving target must not receive requests after 2 s. */
   static final long PACE_MS = 350;
 
-  /** How long one call waits for a change. */
+  /** Wait of one call for a change. */
   static final long WAIT_MS = 400;
 
   /**
-   * After its wait and this long a call is taken for one on a connection that fell silent, and
-   * begun anew on another.
+   * Time after the wait until a call is considered lost on an unresponsive connection and is
+   * repeated on another one.
    */
   private static final long ANSWER_MS = 400;
 
-  /** Each overdue listing doubles that, up to this: a store that is away is asked less often. */
-  private static final long LONGEST_LISTING_ANSWER_MS = 1_600;
+  /**
+   * Upper bound for {@link #ANSWER_MS} of listings, which each overdue listing doubles so that an
+   * unreachable store gets fewer calls.
+   */
+  private static final long MAX_LISTING_ANSWER_MS = 1_600;
 
-  /** A store that answers slowly takes less. */
+  /** Response time after which the store counts as silent. A slow store responds faster. */
   static final long SILENT_AFTER_MS = 300;
 
   private static final long RETRY_MS = 250;
 
-  /** Entries that lapsed in an outage are back within 2 s of its end; a little more for pace. */
-  private static final long COMEBACK_MS = 2_200;
+  /**
+   * How long missing entries are kept after an outage. Entries that expired in an outage reappear
+   * within 2 s of its end; the rest allows for the pause between calls.
+   */
+  private static final long REAPPEAR_MS = 2_200;
 
-  /** In a shorter outage no entry lapses: they live for three beats, and two are left of them. */
+  /**
+   * Shortest outage in which an entry can expire. Entries live for three heartbeats, and at least
+   * two of them remain when an outage begins.
+   */
   private static final long OUTAGE_MS = 1_750;
 
   private final TargetRegistry registry;
@@ -61,7 +71,7 @@
   private final MillisClock clock;
   private final DecisionLog log;
   private final Runnable onChange;
-  private final StoreResponseMonitor silence;
+  private final StoreResponseMonitor monitor;
   private final TargetRegister register = new TargetRegister();
   private final Map<TargetId, Long> removeAtMs = new HashMap<>();
   private final Set<TargetId> ended = new HashSet<>();
@@ -72,7 +82,7 @@
   private UpperTime confirmed;
   private long keepUntilMs;
   private Optional<Long> outageSince = Optional.empty();
-  private long listingAnswerMs = ANSWER_MS;
+  private long listingTimeoutMs = ANSWER_MS;
   private long callNumber;
   private long answeredNumber;
 
@@ -90,7 +100,7 @@
     this.log = log;
     this.onChange = onChange;
     this.confirmed = knownAt;
-    this.silence = new StoreResponseMonitor(clock, SILENT_AFTER_MS);
+    this.monitor = new StoreResponseMonitor(clock, SILENT_AFTER_MS);
     register.replaceAll(known, true);
   }
 
@@ -99,29 +109,29 @@
       return;
     }
     long number = ++callNumber;
-    silence.onCall(number, 0);
+    monitor.onCall(number, 0);
     UpperTime sent = clock.upper();
     registry
         .list()
-        .thenApply(listing -> noteArrival(number, listing.available(), listing))
+        .thenApply(listing -> recordResponse(number, listing.available(), listing))
         .thenAcceptAsync(listing -> onListed(number, listing, sent), control);
-    control.schedule(() -> onListingOverdue(number), listingAnswerMs);
+    control.schedule(() -> onListingOverdue(number), listingTimeoutMs);
   }
 
   private void onListingOverdue(long number) {
     if (!closed && number == callNumber && number > answeredNumber) {
       log.write("registry_call_renewed", "revision={} age_ms={}", revision, ageMs());
-      listingAnswerMs = Math.min(LONGEST_LISTING_ANSWER_MS, 2 * listingAnswerMs);
+      listingTimeoutMs = Math.min(MAX_LISTING_ANSWER_MS, 2 * listingTimeoutMs);
       start();
     }
   }
 
-  /** Called on the thread that brings the answer. */
-  private <T> T noteArrival(long number, boolean available, T answer) {
+  /** Records a response. Must be called on the thread that delivers it. */
+  private <T> T recordResponse(long number, boolean available, T answer) {
     if (available) {
-      silence.onAnswer(number, WAIT_MS);
+      monitor.onAnswer(number, WAIT_MS);
     } else {
-      silence.onRefusal(number);
+      monitor.onRefusal(number);
     }
     return answer;
   }
@@ -138,28 +148,25 @@
     return listed;
   }
 
-  /** A target is known to have ended before its registration lapses. */
+  /** Removes a target that is known to have ended before its registration expires. */
   void forget(TargetId id) {
     ended.add(id);
     register.remove(id);
   }
 
-  /** Returns when what is known was last all that the registry had; not null. */
+  /** Returns when the known targets last matched the registry; not null. */
   UpperTime confirmed() {
     return confirmed;
   }
 
-  /** Returns how old what is known may be; milliseconds. */
+  /** Returns the time since the known targets were last confirmed; milliseconds. */
   long ageMs() {
     return clock.upper().sinceMs(confirmed);
   }
 
-  /**
-   * Tells whether the registry has refused the last call, or left it without an answer. For any
-   * thread.
-   */
+  /** Returns whether the registry refused the last call or its response is overdue. Thread-safe. */
   boolean isSilent() {
-    return silence.isSilent();
+    return monitor.isSilent();
   }
 
   private void onListed(long number, RegistryListing listing, UpperTime sent) {
@@ -176,20 +183,20 @@
       return;
     }
     answeredNumber = callNumber;
-    listingAnswerMs = ANSWER_MS;
+    listingTimeoutMs = ANSWER_MS;
     onAnswer(sent);
     logUnreadable(listing.unreadable());
     revision = listing.revision();
     noteEpoch(listing.epoch());
-    final boolean first = !listed;
+    final boolean firstListing = !listed;
     listed = true;
     Set<TargetId> present = new HashSet<>();
     for (FleetTarget target : listing.targets()) {
       present.add(target.id());
     }
-    List<FleetTarget> living = new ArrayList<>(listing.targets());
-    living.removeIf(target -> ended.contains(target.id()));
-    boolean changed = register.replaceAll(living, true);
+    List<FleetTarget> running = new ArrayList<>(listing.targets());
+    running.removeIf(target -> ended.contains(target.id()));
+    boolean changed = register.replaceAll(running, true);
     for (FleetTarget known : register.all()) {
       if (present.contains(known.id())) {
         removeAtMs.remove(known.id());
@@ -197,14 +204,17 @@
         removeAtMs.putIfAbsent(known.id(), Math.max(clock.nowMs(), keepUntilMs));
       }
     }
-    tell(first | changed | removeDue());
+    notifyIfChanged(firstListing | changed | removeDue());
     control.schedule(this::watch, PACE_MS);
   }
 
-  /** Targets that an older copy lacks write their entries again, like after an outage. */
+  /**
+   * Notes the epoch of the store. After a restore from an older copy, targets that the copy lacks
+   * write their entries again, as after an outage.
+   */
   private void noteEpoch(long now) {
     if (listed && now != epoch) {
-      keepUntilMs = clock.nowMs() + COMEBACK_MS;
+      keepUntilMs = clock.nowMs() + REAPPEAR_MS;
       log.write("registry_came_back_older", "epoch={}", now);
     }
     epoch = now;
@@ -215,12 +225,12 @@
       return;
     }
     long number = ++callNumber;
-    silence.onCall(number, WAIT_MS);
-    WatchFreshness proof = new WatchFreshness(clock.upper(), clock.nowMs(), WAIT_MS);
+    monitor.onCall(number, WAIT_MS);
+    WatchFreshness freshness = new WatchFreshness(clock.upper(), clock.nowMs(), WAIT_MS);
     registry
         .changes(revision, WAIT_MS)
-        .thenApply(changes -> noteArrival(number, isAnswered(changes), changes))
-        .thenApply(changes -> new Answer(changes, provedBy(changes, proof)))
+        .thenApply(changes -> recordResponse(number, isAnswered(changes), changes))
+        .thenApply(changes -> new Answer(changes, validAsOf(changes, freshness)))
         .thenAcceptAsync(answer -> onChanges(number, answer), control);
     control.schedule(() -> onOverdue(number), WAIT_MS + ANSWER_MS);
   }
@@ -237,8 +247,8 @@
   }
 
   /**
-   * Takes an answer. That to a call that was begun anew counts too, unless a later one was answered
-   * before: a store that is slow all the time would else never be heard.
+   * Processes a response. The response to a call that was repeated since counts too, unless a later
+   * call has been answered. Otherwise no response of a permanently slow store would ever count.
    */
   private void onChanges(long number, Answer answer) {
     final RegistryChanges changes = answer.changes;
@@ -252,8 +262,8 @@
     answeredNumber = number;
     switch (changes.status()) {
       case ANSWERED -> {
-        onAnswer(answer.proved);
-        take(changes);
+        onAnswer(answer.validAsOf);
+        applyChanges(changes);
         control.schedule(this::watch, PACE_MS);
       }
       case HISTORY_LOST -> start();
@@ -267,18 +277,18 @@
   private void onLateChanges(long number, Answer answer) {
     if (answer.changes.status() == RegistryChanges.Status.ANSWERED) {
       answeredNumber = number;
-      onAnswer(answer.proved);
-      take(answer.changes);
+      onAnswer(answer.validAsOf);
+      applyChanges(answer.changes);
     }
   }
 
-  private UpperTime provedBy(RegistryChanges changes, WatchFreshness proof) {
+  private UpperTime validAsOf(RegistryChanges changes, WatchFreshness freshness) {
     boolean unchanged =
         changes.status() == RegistryChanges.Status.ANSWERED
             && changes.written().isEmpty()
             && changes.removed().isEmpty()
             && changes.unreadable().isEmpty();
-    return proof.onAnswer(unchanged, clock.nowMs());
+    return freshness.validAsOf(unchanged, clock.nowMs());
   }
 
   private void noteOutage() {
@@ -287,21 +297,21 @@
     }
   }
 
-  private void onAnswer(UpperTime proved) {
+  private void onAnswer(UpperTime validAsOf) {
     if (outageSince.filter(since -> clock.nowMs() - since > OUTAGE_MS).isPresent()) {
-      keepUntilMs = clock.nowMs() + COMEBACK_MS;
+      keepUntilMs = clock.nowMs() + REAPPEAR_MS;
       log.write("registry_regained", "after_ms={}", ageMs());
     }
     outageSince = Optional.empty();
-    confirmed = confirmed.latest(proved);
+    confirmed = confirmed.latest(validAsOf);
   }
 
-  /** Such an entry names no target; what was known of others holds. */
+  /** Logs entries that cannot be decoded. The other known targets stay valid. */
   private void logUnreadable(List<String> entries) {
     entries.forEach(entry -> log.write("registration_unreadable", "entry=\"{}\"", entry));
   }
 
-  private void take(RegistryChanges changes) {
+  private void applyChanges(RegistryChanges changes) {
     logUnreadable(changes.unreadable());
     revision = Math.max(revision, changes.revision());
     boolean changed = false;
@@ -310,9 +320,9 @@
         continue;
       }
       removeAtMs.remove(target.id());
-      boolean isNews = register.put(target);
-      changed |= isNews;
-      if (isNews) {
+      boolean updated = register.put(target);
+      changed |= updated;
+      if (updated) {
         log.write(
             "target_registered",
             "target={} service={} address={} phase={} cold_ms={}",
@@ -323,12 +333,12 @@
             target.coldMs());
       }
     }
-    for (TargetId gone : changes.removed()) {
-      for (TargetId run : register.runsOf(gone)) {
+    for (TargetId removed : changes.removed()) {
+      for (TargetId run : register.runsOf(removed)) {
         removeAtMs.putIfAbsent(run, Math.max(clock.nowMs(), keepUntilMs));
       }
     }
-    tell(changed | removeDue());
+    notifyIfChanged(changed | removeDue());
   }
 
   private boolean removeDue() {
@@ -344,12 +354,12 @@
     return changed;
   }
 
-  private void tell(boolean changed) {
+  private void notifyIfChanged(boolean changed) {
     if (changed) {
       onChange.run();
     }
   }
 
-  /** What the registry answered, and as of when that is known to hold. */
-  private record Answer(RegistryChanges changes, UpperTime proved) {}
+  /** A response of the registry and the time as of which it is valid. */
+  private record Answer(RegistryChanges changes, UpperTime validAsOf) {}
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreResponseMonitor.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreResponseMonitor.java
@@ -3,11 +3,11 @@
 import io.cuminvalve.kernel.MillisClock;
 
 /**
- * Tells whether the store refuses this process, or leaves it without an answer.
+ * Detects that the store refuses calls of this process or does not respond to them.
  *
- * <p>Answers are noted on the thread that brings them. A control thread that is late must not take
- * its own lateness for the store's silence: that would lift the bounds on the age of what it knows.
- * Safe for use by several threads.
+ * <p>Responses are recorded on the thread that delivers them. Otherwise a delayed control thread
+ * would take its own delay for an unresponsive store, and the age limits on its data would be
+ * lifted. Thread-safe.
  */
 final class StoreResponseMonitor {
 
@@ -19,17 +19,17 @@
   private boolean refused;
 
   /**
-   * Creates a silence that has not begun.
+   * Creates a monitor without any call.
    *
    * @param clock the time; not null
-   * @param answerMs how long the store may take for an answer, beside its wait; milliseconds
+   * @param answerMs how long a response may take in addition to the wait of its call; milliseconds
    */
   StoreResponseMonitor(MillisClock clock, long answerMs) {
     this.clock = clock;
     this.answerMs = answerMs;
   }
 
-  /** A call is made; it waits so long. Calls have growing numbers. */
+  /** Records a call that waits up to {@code waitMs} for a change. Call numbers increase. */
   synchronized void onCall(long number, long waitMs) {
     newestCall = number;
     if (!answerDue) {
@@ -38,18 +38,22 @@
     }
   }
 
-  /** The store has answered a call; a later one, which may wait so long, is due from now on. */
+  /**
+   * Records the response to a call. If a later call is pending, its response becomes due after
+   * {@code waitMs} and the response time from now on.
+   */
   synchronized void onAnswer(long number, long waitMs) {
     refused = false;
     answerDue = number < newestCall;
     dueMs = clock.nowMs() + waitMs + answerMs;
   }
 
-  /** A call was refused, or failed. */
+  /** Records that a call was refused or failed. Only the newest call counts. */
   synchronized void onRefusal(long number) {
     refused |= number == newestCall;
   }
 
+  /** Returns whether the newest call was refused or a response is overdue. */
   synchronized boolean isSilent() {
     return refused || (answerDue && clock.nowMs() > dueMs);
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermHolderRecord.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermHolderRecord.java
@@ -1,11 +1,11 @@
 package io.cuminvalve.gateway.control;
 
 /**
- * Who holds the term, as the store keeps it.
+ * The holder of the term, as stored under the key of the term.
  *
- * @param process the holder's id; not null
- * @param nonce tells runs of the same process apart
- * @param peerAddress where gateways reach it; not null
+ * @param process the id of the holder; not null
+ * @param nonce distinguishes runs of the same process
+ * @param peerAddress the peer address of the holder; not null
  * @since 0.2
  */
 public record TermHolderRecord(String process, long nonce, String peerAddress) {}
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermLease.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermLease.java
@@ -18,80 +18,84 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes the term when it is vacant, keeps it, and tells who holds it.
+ * Leader election: acquires the term when it is vacant, renews it, and reports its holder.
  *
- * <p>The term is a key tied to a lease of the store. Its number is the revision at which the key
- * was written, so every later holder has a higher one. A holder that the store does not answer goes
- * on for a bounded time, in which it may renew leases at targets but cannot move any, since a move
- * has to be written first. All methods and callbacks are for the control thread.
+ * <p>The term is a key attached to a lease of the store. Its number is the revision at which the
+ * key was written, so every later holder has a higher one. While the store does not respond, the
+ * holder keeps the term for a bounded time. It can renew leases at targets during that time but
+ * cannot move keys, because a move must be written to the store first. All methods and callbacks
+ * run on the control thread.
  *
  * @since 0.2
  */
 public final class TermLease {
 
-  /** Learns of changes. */
+  /** Receives changes of the term. */
   public interface Listener {
 
     /**
-     * This process holds the term now.
+     * Called when this process has acquired the term.
      *
-     * @param term its number
+     * @param term the number of the term
      */
     void onGained(long term);
 
-    /** This process holds the term no longer. */
+    /** Called when this process no longer holds the term. */
     void onLost();
 
     /**
-     * Another process holds the term.
+     * Called when another process holds the term.
      *
-     * @param peerAddress where gateways reach it; not null
+     * @param peerAddress the peer address of the holder; not null
      */
     void onOtherHolder(String peerAddress);
   }
 
-  /** Older than anything that anybody relies on. */
+  /** Age reported for a vacant term; above every age limit in use. */
   public static final long VACANT_AGE_MS = 60_000;
 
-  /** Where the term is kept. */
+  /** Store key of the term. */
   private static final String KEY = "cuminvalve/term";
 
-  /** A vacant term is noticed after this time at the latest; above the store's least of 1 s. */
-  private static final long TTL_MS = 1_500;
+  /** Upper bound on the time until a vacant term is detected. The store allows 1 s at the least. */
+  private static final long LEASE_TTL_MS = 1_500;
 
-  private static final long KEEP_MS = 350;
+  private static final long RENEW_INTERVAL_MS = 350;
 
-  /** Two renewals have failed, or one was not answered. */
+  /** Time without confirmation after two failed renewals, or one without a response. */
   private static final long OUTAGE_MS = 1_000;
 
   private static final long RETRY_MS = 200;
 
   /**
-   * Candidates with fewer cores wait longer, in proportion: in a fleet of unequal hosts the holder
-   * should be a strong one.
+   * Candidates with fewer cores than this wait proportionally longer, so that a host with enough
+   * capacity becomes the holder in a fleet of unequal hosts.
    */
-  private static final double FULL_STRENGTH_CORES = 0.6;
+  private static final double UNDELAYED_CANDIDATE_CORES = 0.6;
 
-  /** Candidates wait up to this long, so that one of them is usually alone. */
-  private static final long MAX_DELAY_MS = 250;
+  /** Upper bound of the random delay that keeps candidates from competing for the term. */
+  private static final long MAX_CANDIDATE_DELAY_MS = 250;
 
-  private static final long MIN_DELAY_MS = 60;
+  private static final long MIN_CANDIDATE_DELAY_MS = 60;
 
-  /** So long after a store came back from an older copy its former holder goes first. */
-  private static final long CAME_BACK_LATELY_MS = 3_000;
+  /** How long after the store was restored from an older copy the former holder has priority. */
+  private static final long RESTORE_PRIORITY_MS = 3_000;
 
-  /** It writes what it knows, gives the term up and takes it again: five calls. */
-  private static final long FORMER_HOLDER_FIRST_MS = 1_000;
+  /**
+   * Extra delay of other candidates while the former holder has priority. It covers five store
+   * calls: the former holder writes its state, releases the term and acquires it again.
+   */
+  private static final long FORMER_HOLDER_ADVANTAGE_MS = 1_000;
 
-  /** Two readings of one moment differ by less. */
-  private static final long SUSPENDED_MS = 50;
+  /** Two clock readings of the same moment differ by less than this. */
+  private static final long CLOCK_TOLERANCE_MS = 50;
 
   private final KeyValueStore store;
   private final ControlThread control;
   private final MillisClock clock;
   private final RandomGenerator random;
   private final DecisionLog log;
-  private final TermHolderRecord ownNote;
+  private final TermHolderRecord ownRecord;
   private final boolean firstCandidate;
   private final double processorCores;
   private final long graceMs;
@@ -104,27 +108,27 @@
   private boolean holding;
   private Optional<StoreLeaseId> lease = Optional.empty();
   private volatile UpperTime confirmed = UpperTime.NEVER;
-  private UpperTime woken = UpperTime.NEVER;
+  private UpperTime resumed = UpperTime.NEVER;
   private long confirmedSuspendedMs;
-  private Optional<Long> cameBackMs = Optional.empty();
+  private Optional<Long> storeRestoredMs = Optional.empty();
   private boolean formerHolder;
   private boolean rewriting;
 
   /**
-   * Creates a lease that does nothing yet.
+   * Creates a lease that is not started.
    *
-   * @param store keeps the term; not null
+   * @param store stores the term; not null
    * @param control the control thread; not null
    * @param clock the time; not null
-   * @param random spreads candidates; not null
-   * @param log takes decisions; not null
-   * @param codec reads and writes what is kept; not null
-   * @param ownNote what is written when this process takes the term; not null
-   * @param firstCandidate whether it need not wait before it tries
+   * @param random randomizes the delay of candidates; not null
+   * @param log the decision log; not null
+   * @param codec encodes and decodes the stored record; not null
+   * @param ownNote the record written when this process acquires the term; not null
+   * @param firstCandidate whether this process tries to acquire a vacant term without delay
    * @param processorCores how many cores this process may use; above 0
-   * @param graceMs for how long it goes on without an answer of the store; milliseconds
+   * @param graceMs how long the term is kept without confirmation by the store; milliseconds
    * @param reliance how far the holder and its deputies are relied on; not null
-   * @param listener learns of changes; not null
+   * @param listener receives changes of the term; not null
    */
   public TermLease(
       KeyValueStore store,
@@ -133,7 +137,7 @@
       RandomGenerator random,
       DecisionLog log,
       RecordCodec codec,
-      TermHolderRecord ownNote,
+      TermHolderRecord ownRecord,
       boolean firstCandidate,
       double processorCores,
       long graceMs,
@@ -145,7 +149,7 @@
     this.random = random;
     this.log = log;
     this.codec = codec;
-    this.ownNote = ownNote;
+    this.ownRecord = ownRecord;
     this.firstCandidate = firstCandidate;
     this.processorCores = processorCores;
     this.graceMs = graceMs;
@@ -154,102 +158,103 @@
         new KeyFollower(store, KEY, control, clock, log, RETRY_MS, reliance, this::onWatched);
   }
 
-  /** Starts to watch the term. */
+  /** Starts watching the term. */
   public void start() {
     follower.start();
   }
 
   /**
-   * Hears from another gateway who holds the term.
+   * Processes the term reported by another gateway.
    *
-   * <p>Without that the vacancy of the term, or the next holder, might stay unknown for as long as
-   * a wait at the store hangs on a connection that fell silent, or the store turns this process
-   * away. A later term counts without a look at the store: its number cannot be older news.
+   * <p>Without these reports a vacant term or a new holder could remain undetected while a watch
+   * hangs on an unresponsive connection or the store refuses this process. A later term is accepted
+   * without reading the store, since its number proves that the report is newer.
    *
-   * @param heard the number of the term
-   * @param peerAddress where gateways reach its holder; empty if unknown; not null
-   * @param at when the store confirmed it; not null
-   * @return whether it is no earlier term than the one known
+   * @param reported the number of the reported term
+   * @param peerAddress the peer address of its holder; empty if unknown; not null
+   * @param at when the store confirmed the term; not null
+   * @return whether the reported term is at least the newest known one
    */
-  public boolean onHeard(long heard, String peerAddress, UpperTime at) {
-    if (heard < follower.revision()) {
+  public boolean onHeard(long reported, String peerAddress, UpperTime at) {
+    if (reported < follower.revision()) {
       return false;
     }
-    if (heard > follower.revision() && !holding && !peerAddress.isEmpty()) {
+    if (reported > follower.revision() && !holding && !peerAddress.isEmpty()) {
       candidate = false;
-      follower.onTaken(heard);
+      follower.advanceTo(reported);
       listener.onOtherHolder(peerAddress);
     }
-    follower.onHeard(heard, at);
+    follower.onPeerRevision(reported, at);
     return true;
   }
 
   /**
-   * Returns the newest term that is known.
+   * Returns the newest known term.
    *
-   * @return its number; 0 if none is known
+   * @return the number of the term; 0 if none is known
    */
   public long newest() {
     return follower.revision();
   }
 
   /**
-   * Returns how old the knowledge is that the newest term is not over.
+   * Returns the time since the newest term was last confirmed.
    *
-   * @return milliseconds; {@link #VACANT_AGE_MS} if the store said that nobody holds it
+   * @return milliseconds; {@link #VACANT_AGE_MS} if the store reported a vacant term
    */
   public long ageMs() {
     return follower.isAbsent() ? VACANT_AGE_MS : follower.ageMs();
   }
 
   /**
-   * Gives the term up, if this process holds it, and never takes it again.
+   * Releases the term, if this process holds it, and never acquires it again.
    *
-   * <p>The store's lease is ended, so that another process can take over at once. While the store
-   * does not answer nobody can: then the term is kept until it does, or until this process ends.
+   * <p>The lease of the store is ended so that another process can take over immediately. While the
+   * store does not respond no process can take over, so the term is kept until the store responds
+   * or this process exits.
    */
   public void close() {
     closed = true;
     follower.close();
     if (holding && !isOutage()) {
-      lose("stopping");
+      release("stopping");
     }
   }
 
   /**
-   * Tells whether the store has not confirmed the term lately.
+   * Returns whether this process holds the term and recent renewals were not confirmed.
    *
-   * @return false for a process that does not hold it
+   * @return false if this process does not hold the term
    */
   public boolean isOutage() {
     return holding && clock.upper().sinceMs(confirmed) > OUTAGE_MS;
   }
 
-  /** Another process has proved that it holds a later term. */
+  /** Releases the term because another process has proved that it holds a later one. */
   public void onReplaced() {
     relinquish("replaced");
   }
 
   /**
-   * Gives the term up, if this process holds it; it may take a later one.
+   * Releases the term, if this process holds it. The process may acquire a later term.
    *
-   * @param why for the log; not null
+   * @param why the reason written to the log; not null
    */
   public void relinquish(String why) {
     if (holding) {
-      lose(why);
+      release(why);
     }
   }
 
-  /** Asks the store at once whether the term is still ours. */
+  /** Renews the term immediately to check whether this process still holds it. */
   public void confirm() {
     if (holding) {
-      keep();
+      renew();
     }
   }
 
   /**
-   * Returns when the store last confirmed the term. For any thread.
+   * Returns when the store last confirmed the term. Thread-safe.
    *
    * @return never null
    */
@@ -257,25 +262,28 @@
     return confirmed;
   }
 
-  /** This host was suspended: others may hold the term by now. Asks the store at once. */
+  /**
+   * Renews the term immediately after this host was suspended, because another process may have
+   * acquired it meanwhile.
+   */
   public void onWoken() {
-    woken = clock.upper();
+    resumed = clock.upper();
     if (holding) {
-      keepOrLose();
+      renewOrRelease();
     }
   }
 
   /**
-   * Tells whether the store has confirmed the term since this host was suspended last.
+   * Returns whether the store has confirmed the term since the last suspension of this host.
    *
-   * @return false for a process that does not hold it
+   * @return false if this process does not hold the term
    */
   public boolean isConfirmedSinceResume() {
-    boolean sleptSince = suspendedMs() - confirmedSuspendedMs >= SUSPENDED_MS;
-    return holding && !sleptSince && confirmed.compareTo(woken) >= 0;
+    boolean suspendedSince = suspendedMs() - confirmedSuspendedMs >= CLOCK_TOLERANCE_MS;
+    return holding && !suspendedSince && confirmed.compareTo(resumed) >= 0;
   }
 
-  /** Returns how much the upper bound of the clock is ahead of the lower one. */
+  /** Returns the difference between the upper and the lower bound of the clock. */
   private long suspendedMs() {
     UpperTime upper = clock.upper();
     return upper.ms() - clock.nowMs();
@@ -285,17 +293,17 @@
     switch (result.event()) {
       case CHANGED -> {
         candidate = false;
-        onNote(result.value().orElseThrow());
+        onStoredHolder(result.value().orElseThrow());
       }
-      case ABSENT -> becomeCandidate();
+      case ABSENT -> startCandidacy();
       case UNCHANGED, UNAVAILABLE -> {
-        // The holder that is known goes on.
+        // The known holder stays.
       }
       default -> throw new IllegalStateException("unknown event " + result.event());
     }
   }
 
-  private void onNote(StoreValue value) {
+  private void onStoredHolder(StoreValue value) {
     try {
       listener.onOtherHolder(codec.decode(value.value(), TermHolderRecord.class).peerAddress());
     } catch (CodedException unreadable) {
@@ -304,8 +312,8 @@
   }
 
   /**
-   * Gives the term up to take it again at once: the store has come back from an older copy, and
-   * what others know of the term is above what the store has of it.
+   * Releases the term and acquires it again without delay. Needed after the store was restored from
+   * an older copy, because other processes know a higher term revision than the store has.
    */
   public void reacquire() {
     if (!holding) {
@@ -318,39 +326,45 @@
 
   private void onEnded(StoreLeaseId ended) {
     if (holding && lease.equals(Optional.of(ended))) {
-      lose("store_came_back_older");
+      release("store_came_back_older");
     }
   }
 
-  /** The store has come back from an older copy: whoever held the term knows who owns what. */
+  /**
+   * Notes that the store was restored from an older copy. The former holder then has priority,
+   * because it knows the current owners.
+   */
   public void onStoreCameBack() {
-    cameBackMs = Optional.of(clock.nowMs());
+    storeRestoredMs = Optional.of(clock.nowMs());
     rewriting = holding;
   }
 
-  private boolean cameBackWithin(long pastMs) {
-    return cameBackMs.filter(atMs -> clock.nowMs() - atMs < pastMs).isPresent();
+  private boolean isRestoredWithin(long windowMs) {
+    return storeRestoredMs.filter(atMs -> clock.nowMs() - atMs < windowMs).isPresent();
   }
 
-  private void becomeCandidate() {
+  private void startCandidacy() {
     if (candidate) {
       return;
     }
     candidate = true;
-    control.schedule(this::apply, formerHolder ? 0 : candidateDelayMs());
+    control.schedule(this::tryAcquire, formerHolder ? 0 : candidateDelayMs());
   }
 
   private long candidateDelayMs() {
-    double weakness = Math.max(1, FULL_STRENGTH_CORES / processorCores);
-    long spreadMs = (long) (random.nextLong(MIN_DELAY_MS, MAX_DELAY_MS) * weakness);
+    double slowdown = Math.max(1, UNDELAYED_CANDIDATE_CORES / processorCores);
+    long spreadMs =
+        (long) (random.nextLong(MIN_CANDIDATE_DELAY_MS, MAX_CANDIDATE_DELAY_MS) * slowdown);
     long delayMs = firstCandidate ? 0 : spreadMs;
-    return cameBackWithin(CAME_BACK_LATELY_MS) ? delayMs + FORMER_HOLDER_FIRST_MS : delayMs;
+    return isRestoredWithin(RESTORE_PRIORITY_MS) ? delayMs + FORMER_HOLDER_ADVANTAGE_MS : delayMs;
   }
 
-  private void apply() {
+  private void tryAcquire() {
     if (candidate && !closed && !holding) {
       UpperTime sent = clock.upper();
-      store.createLease(TTL_MS).thenAcceptAsync(result -> onLeaseCreated(result, sent), control);
+      store
+          .createLease(LEASE_TTL_MS)
+          .thenAcceptAsync(result -> onLeaseCreated(result, sent), control);
     }
   }
 
@@ -360,57 +374,57 @@
       return;
     }
     if (result.lease().isEmpty()) {
-      control.schedule(this::apply, RETRY_MS);
+      control.schedule(this::tryAcquire, RETRY_MS);
       return;
     }
     StoreLeaseId created = result.lease().get();
     store
-        .write(KEY, codec.encode(ownNote), KeyValueStore.ABSENT, Optional.of(created))
+        .write(KEY, codec.encode(ownRecord), KeyValueStore.ABSENT, Optional.of(created))
         .thenAcceptAsync(written -> onWritten(written, created, sent), control);
   }
 
   private void onWritten(WriteResult written, StoreLeaseId created, UpperTime sent) {
     switch (written.outcome()) {
-      case DONE -> gain(written.revision(), created, sent);
+      case DONE -> onAcquired(written.revision(), created, sent);
       case UNKNOWN -> store.read(KEY).thenAcceptAsync(r -> onReadBack(r, created, sent), control);
       case CONFLICT -> {
         candidate = false;
         store.endLease(created);
       }
-      default -> tryAgain(created);
+      default -> retryAcquire(created);
     }
   }
 
-  /** Nobody has the term as far as is known, and the store tells that only once. */
-  private void tryAgain(StoreLeaseId created) {
+  /** Schedules another attempt, because the watch reports a vacant term only once. */
+  private void retryAcquire(StoreLeaseId created) {
     store.endLease(created);
-    control.schedule(this::apply, RETRY_MS);
+    control.schedule(this::tryAcquire, RETRY_MS);
   }
 
-  /** A write without an answer is looked up, never guessed. */
+  /** Resolves a write with unknown outcome by reading the key. */
   private void onReadBack(ReadResult result, StoreLeaseId created, UpperTime sent) {
-    Optional<StoreValue> ours = result.value().filter(this::isOurs);
-    if (ours.isPresent()) {
-      gain(ours.get().revision(), created, sent);
+    Optional<StoreValue> own = result.value().filter(this::isOwn);
+    if (own.isPresent()) {
+      onAcquired(own.get().revision(), created, sent);
     } else if (result.value().isPresent()) {
       candidate = false;
       store.endLease(created);
     } else {
-      // Without its lease the write can no longer take effect, should it still be on its way.
-      tryAgain(created);
+      // Ending the lease keeps a write that is still in flight from taking effect.
+      retryAcquire(created);
     }
   }
 
-  private boolean isOurs(StoreValue value) {
+  private boolean isOwn(StoreValue value) {
     try {
-      return codec.decode(value.value(), TermHolderRecord.class).equals(ownNote);
+      return codec.decode(value.value(), TermHolderRecord.class).equals(ownRecord);
     } catch (CodedException unreadable) {
       log.write("term_unreadable", "revision={} why=\"{}\"", value.revision(), unreadable);
       return false;
     }
   }
 
-  private void gain(long term, StoreLeaseId created, UpperTime sent) {
+  private void onAcquired(long term, StoreLeaseId created, UpperTime sent) {
     candidate = false;
     if (closed || holding) {
       store.endLease(created);
@@ -418,65 +432,67 @@
     }
     holding = true;
     formerHolder = false;
-    follower.onTaken(term);
+    follower.advanceTo(term);
     follower.close();
     lease = Optional.of(created);
     confirmed = sent;
     confirmedSuspendedMs = suspendedMs();
     log.write("term_gained", "term={}", term);
     listener.onGained(term);
-    control.schedule(this::keepRepeatedly, KEEP_MS);
+    control.schedule(this::renewRepeatedly, RENEW_INTERVAL_MS);
   }
 
-  private void keepRepeatedly() {
+  private void renewRepeatedly() {
     if (!holding) {
       return;
     }
-    keepOrLose();
-    control.schedule(this::keepRepeatedly, KEEP_MS);
+    renewOrRelease();
+    control.schedule(this::renewRepeatedly, RENEW_INTERVAL_MS);
   }
 
-  private void keepOrLose() {
+  private void renewOrRelease() {
     if (clock.upper().sinceMs(confirmed) > graceMs) {
-      lose("not_confirmed");
+      release("not_confirmed");
     } else {
-      keep();
+      renew();
     }
   }
 
-  private void keep() {
-    StoreLeaseId kept = lease.orElseThrow();
+  private void renew() {
+    StoreLeaseId renewed = lease.orElseThrow();
     UpperTime sent = clock.upper();
     long suspendedMs = suspendedMs();
     store
-        .keepAlive(kept)
-        .thenAcceptAsync(outcome -> onKept(kept, outcome, sent, suspendedMs), control);
+        .keepAlive(renewed)
+        .thenAcceptAsync(outcome -> onRenewed(renewed, outcome, sent, suspendedMs), control);
   }
 
-  private void onKept(StoreLeaseId kept, StoreOutcome outcome, UpperTime sent, long suspendedMs) {
-    if (!holding || !lease.equals(Optional.of(kept))) {
+  private void onRenewed(
+      StoreLeaseId renewed, StoreOutcome outcome, UpperTime sent, long suspendedMs) {
+    if (!holding || !lease.equals(Optional.of(renewed))) {
       return;
     }
     if (outcome == StoreOutcome.DONE) {
       confirmed = confirmed.latest(sent);
       confirmedSuspendedMs = Math.max(confirmedSuspendedMs, suspendedMs);
       if (closed) {
-        lose("stopping");
+        release("stopping");
       }
     } else if (outcome == StoreOutcome.CONFLICT && !isRewriting()) {
-      lose("lapsed");
+      release("lapsed");
     }
   }
 
   /**
-   * The older copy may lack the lease. Nobody else takes the term so soon, and whoever does must
-   * find what this process knows.
+   * Returns whether a missing lease is tolerated because the store was just restored from an older
+   * copy that may lack it. Other candidates are delayed meanwhile, and a later holder must find the
+   * state that this process writes.
    */
   private boolean isRewriting() {
-    return rewriting && cameBackWithin(FORMER_HOLDER_FIRST_MS);
+    return rewriting && isRestoredWithin(FORMER_HOLDER_ADVANTAGE_MS);
   }
 
-  private void lose(String why) {
+  private void release(String why) {
     holding = false;
     rewriting = false;
     lease.ifPresent(store::endLease);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermView.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermView.java
@@ -2,22 +2,22 @@
 
 import io.cuminvalve.kernel.UpperTime;
 
-/** What this process knows of the term. For the control thread. */
+/** The newest term that this process knows. Confined to the control thread. */
 interface TermView {
 
   /**
-   * Hears from another gateway who holds the term.
+   * Processes the term reported by another gateway.
    *
-   * @param term its number; 0 if that gateway knows none
-   * @param holderAddress where gateways reach the holder; empty if unknown; not null
-   * @param at when the store confirmed it; not null
-   * @return whether it is no earlier term than the one known
+   * @param term the number of the reported term; 0 if that gateway knows none
+   * @param holderAddress the peer address of the holder; empty if unknown; not null
+   * @param at when the store confirmed the term; not null
+   * @return whether the reported term is at least the newest known one
    */
   boolean onHeard(long term, String holderAddress, UpperTime at);
 
-  /** Returns the number of the newest term known; 0 if there is none. */
+  /** Returns the number of the newest known term; 0 if none is known. */
   long newest();
 
-  /** Returns how old the knowledge is that it is not over; milliseconds. */
+  /** Returns the time since the newest term was last confirmed; milliseconds. */
   long ageMs();
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/WatchFreshness.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/WatchFreshness.java
@@ -3,27 +3,28 @@
 import io.cuminvalve.kernel.UpperTime;
 
 /**
- * As of when the answer to a waiting call of the store is known to hold.
+ * Computes the time as of which the response to a long poll of the store is valid.
  *
- * <p>Whoever asks has to do so as soon as the answer is there, on whatever thread: what waits for
- * another thread does not become newer.
+ * <p>{@link #validAsOf} must be called when the response arrives, on the thread that delivers it.
+ * Time that a response spends in the queue of another thread must not make it look newer.
  *
  * @param sent when the call was sent; not null
- * @param sentMs the same, by the lower bound of the clock; milliseconds
- * @param waitMs how long the store was to wait for a change; milliseconds
+ * @param sentMs the same time by the lower bound of the clock; milliseconds
+ * @param waitMs how long the store may wait for a change; milliseconds
  */
 record WatchFreshness(UpperTime sent, long sentMs, long waitMs) {
 
   /**
-   * Returns as of when an answer holds that has just arrived. Without a change the store looked
-   * last when the wait was over, else no earlier than the call was sent.
+   * Returns the time as of which a response that has just arrived is valid. If it reports no change
+   * after the whole wait, the store checked last at the end of the wait. Otherwise only the time of
+   * sending is certain.
    *
-   * @param unchanged whether it tells of no change
+   * @param unchanged whether the response reports no change
    * @param nowMs the time by the lower bound of the clock; milliseconds
    * @return never null
    */
-  UpperTime onAnswer(boolean unchanged, long nowMs) {
-    boolean waited = unchanged && nowMs - sentMs >= waitMs;
-    return waited ? sent.plusMs(waitMs) : sent;
+  UpperTime validAsOf(boolean unchanged, long nowMs) {
+    boolean waitElapsed = unchanged && nowMs - sentMs >= waitMs;
+    return waitElapsed ? sent.plusMs(waitMs) : sent;
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ConfigurationWatchTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ConfigurationWatchTest.java
@@ -17,21 +17,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: one gateway went on with a configuration that was 26 seconds old and refused requests on
- * routes that had been added since, seconds after it was in touch with the store again; all others
- * were up to date. It had no line in its log and no call at the store in all that time.
+ * Guards against a gateway that keeps an outdated configuration after a network partition.
  *
- * <p>How: while the gateway was cut off from the store, the connection on which it waited for the
- * next change lost its packets. Nothing told it so; the wait could last 30 s, and nobody looked at
- * how long it had been silent.
- *
- * <p>Cause: a wait that is longer than the promise that hangs on it. Proof: every late spell began
- * and ended with the same call of the store, the gauge of the version stood still for it, and other
- * calls of that gateway were answered meanwhile.
+ * <p>While a gateway is cut off from the store, the connection of its pending watch may lose
+ * packets without an error. A watch may wait 30 s, which exceeds the time within which a change
+ * must be in force. Without a check of the age, a gateway kept a configuration that was 26 s old
+ * and refused requests on newly added routes, although other calls of it to the store were
+ * answered.
  */
 class ConfigurationWatchTest {
 
-  /** By then a configuration has to be in force. */
+  /** Time within which a configuration must be in force. */
   private static final long IN_FORCE_MS = 2_000;
 
   private static final long MAX_AGE_MS = 1_460;
@@ -61,15 +57,15 @@
   }
 
   @Test
-  void changesAreInForceAtOnce() {
+  void changesTakeEffectImmediately() {
     store.put(version(2));
     clock.advance(0);
     assertThat(versionInForce()).isEqualTo(2);
   }
 
-  /** The store has come back from an older copy; others know what is in force. */
+  /** The store was restored from an older copy; peers still know the version in force. */
   @Test
-  void olderVersionsUnderLaterRevisionsDoNotCount() {
+  void olderVersionUnderLaterRevisionIsIgnored() {
     store.put(version(3));
     clock.advance(0);
     store.put(version(2));
@@ -80,7 +76,7 @@
   }
 
   @Test
-  void waitsThatFellSilentDelayChangesByLessThanTheirBound() {
+  void silentWatchDelaysChangesByLessThanTheBound() {
     store.silenceWaitingCalls();
     store.put(version(2));
     clock.advance(IN_FORCE_MS);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/KeyFollowerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/KeyFollowerTest.java
@@ -24,8 +24,8 @@
   private final ControlThread control =
       new ControlThread("test", FailureHandler.logging(), new VirtualExecutor(clock));
   private final WatchedStore store = new WatchedStore(clock);
-  private boolean reliesOnOthers;
-  private final List<WatchResult.Event> ends = new ArrayList<>();
+  private boolean reliesOnPeers;
+  private final List<WatchResult.Event> results = new ArrayList<>();
   private final KeyFollower follower =
       new KeyFollower(
           store,
@@ -34,8 +34,8 @@
           clock,
           new DecisionLog(clock, 100, line -> {}),
           RETRY_MS,
-          new Reliance(() -> MAX_AGE_MS, () -> reliesOnOthers),
-          result -> ends.add(result.event()));
+          new Reliance(() -> MAX_AGE_MS, () -> reliesOnPeers),
+          result -> results.add(result.event()));
 
   @BeforeEach
   void begin() {
@@ -46,14 +46,14 @@
   }
 
   @Test
-  void unconfirmedKnowledgeIsLookedAfterOften() {
+  void unconfirmedDataIsPolledOften() {
     clock.advance(20_000);
     assertThat(store.waits().size()).isAtLeast((int) (20_000 / KeyFollower.SHORT_WAIT_MS));
     assertThat(last(store.waits())).isEqualTo(KeyFollower.SHORT_WAIT_MS);
   }
 
   @Test
-  void confirmedKnowledgeCostsNoCalls() {
+  void confirmedDataCostsNoCalls() {
     confirmFor(3_000);
     final int calls = store.waits().size();
     assertThat(last(store.waits())).isEqualTo(KeyFollower.LONG_WAIT_MS);
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void theLongWaitEndsWhenNobodyConfirmsAnyMore() {
+  void longWaitEndsWhenConfirmationsStop() {
     confirmFor(3_000);
     store.silenceWaitingCalls();
     store.put((byte) 2);
@@ -71,33 +71,33 @@
   }
 
   @Test
-  void newsFromOthersEndTheWaitAtOnce() {
+  void revisionReportedByPeerEndsTheWait() {
     confirmFor(3_000);
     store.silenceWaitingCalls();
     store.put((byte) 2);
-    follower.onHeard(2, UpperTime.NEVER);
+    follower.onPeerRevision(2, UpperTime.NEVER);
     clock.advance(BEAT_MS);
     assertThat(follower.revision()).isEqualTo(2);
   }
 
   @Test
-  void whoKnowsLessConfirmsNothing() {
+  void olderRevisionOfPeerConfirmsNothing() {
     confirmFor(3_000);
     store.silenceWaitingCalls();
     store.put((byte) 2);
-    follower.onHeard(2, UpperTime.NEVER);
+    follower.onPeerRevision(2, UpperTime.NEVER);
     clock.advance(BEAT_MS);
     store.silenceWaitingCalls();
     store.put((byte) 3);
     for (long ms = 0; ms < MAX_AGE_MS + BEAT_MS; ms += BEAT_MS) {
-      follower.onHeard(1, clock.upper());
+      follower.onPeerRevision(1, clock.upper());
       clock.advance(BEAT_MS);
     }
     assertThat(follower.revision()).isEqualTo(3);
   }
 
   @Test
-  void answersThatAreOverdueAreNotWaitedFor() {
+  void overdueResponseIsNotAwaited() {
     store.silenceWaitingCalls();
     store.put((byte) 2);
     clock.advance(KeyFollower.SHORT_WAIT_MS + KeyFollower.ANSWER_MS + 150);
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void failedCallsAreNotRepeatedAtOnce() {
+  void failedCallsAreRepeatedAfterDelay() {
     store.setAvailable(false);
     store.put((byte) 2);
     clock.advance(0);
@@ -115,35 +115,35 @@
     store.setAvailable(true);
     clock.advance(RETRY_MS);
     assertThat(follower.revision()).isEqualTo(2);
-    assertThat(ends).contains(WatchResult.Event.UNAVAILABLE);
+    assertThat(results).contains(WatchResult.Event.UNAVAILABLE);
   }
 
   @Test
-  void nothingIsHeardAfterTheEnd() {
+  void closedFollowerReportsNothing() {
     follower.close();
-    ends.clear();
+    results.clear();
     store.put((byte) 2);
     clock.advance(5_000);
-    assertThat(ends).isEmpty();
+    assertThat(results).isEmpty();
     follower.start();
     clock.advance(0);
-    assertThat(ends).containsExactly(WatchResult.Event.CHANGED);
+    assertThat(results).containsExactly(WatchResult.Event.CHANGED);
   }
 
   @Test
-  void whoReliesOnOthersAsksNothingWhileTheyConfirm() {
-    relyOnOthers();
+  void relyingFollowerMakesNoCallsWhilePeersConfirm() {
+    relyOnPeers();
     final int calls = store.waits().size();
     confirmFor(20_000);
     assertThat(store.waits()).hasSize(calls);
   }
 
   @Test
-  void whoReliesOnOthersAsksOnceWhenTheyTellOfNews() {
-    relyOnOthers();
+  void relyingFollowerReadsOnceWhenPeerReportsNewRevision() {
+    relyOnPeers();
     final int calls = store.waits().size();
     store.put((byte) 2);
-    follower.onHeard(2, UpperTime.NEVER);
+    follower.onPeerRevision(2, UpperTime.NEVER);
     clock.advance(0);
     assertThat(follower.revision()).isEqualTo(2);
     confirmFor(3_000);
@@ -151,8 +151,8 @@
   }
 
   @Test
-  void whoReliesOnOthersLooksForItselfWhenTheyFallSilent() {
-    relyOnOthers();
+  void relyingFollowerReadsTheStoreWhenPeersStopConfirming() {
+    relyOnPeers();
     store.put((byte) 2);
     clock.advance(MAX_AGE_MS + 200);
     assertThat(follower.revision()).isEqualTo(2);
@@ -162,31 +162,31 @@
     assertThat(store.waits().size() - calls).isAtMost(10);
   }
 
-  /** A term that was told of and is over again must not be asked for without a pause. */
+  /** A term that was reported but has ended since must not cause calls without a pause. */
   @Test
-  void newsThatTheStoreDoesNotConfirmAreForgotten() {
-    relyOnOthers();
+  void peerRevisionThatTheStoreDoesNotHaveIsForgotten() {
+    relyOnPeers();
     final int calls = store.waits().size();
-    follower.onHeard(9, UpperTime.NEVER);
+    follower.onPeerRevision(9, UpperTime.NEVER);
     clock.advance(1_000);
     assertThat(store.waits().size() - calls).isAtMost(2);
   }
 
   @Test
-  void whoIsToFollowTheStoreAgainWaitsThere() {
-    relyOnOthers();
+  void followerThatNoLongerReliesOnPeersPollsAgain() {
+    relyOnPeers();
     confirmFor(3_000);
-    reliesOnOthers = false;
+    reliesOnPeers = false;
     confirmFor(600);
     assertThat(last(store.waits())).isEqualTo(KeyFollower.LONG_WAIT_MS);
   }
 
   @Test
-  void theKeyThatIsMissingIsWaitedForAtTheStore() {
-    relyOnOthers();
+  void missingKeyIsPolledAtTheStore() {
+    relyOnPeers();
     store.remove();
     clock.advance(MAX_AGE_MS + 200);
-    assertThat(last(ends)).isEqualTo(WatchResult.Event.ABSENT);
+    assertThat(last(results)).isEqualTo(WatchResult.Event.ABSENT);
     clock.advance(RETRY_MS + 100);
     assertThat(follower.isAbsent()).isTrue();
     store.put((byte) 3);
@@ -195,19 +195,19 @@
     assertThat(follower.isAbsent()).isFalse();
   }
 
-  private void relyOnOthers() {
-    reliesOnOthers = true;
+  private void relyOnPeers() {
+    reliesOnPeers = true;
     store.silenceWaitingCalls();
     clock.advance(KeyFollower.SHORT_WAIT_MS + KeyFollower.ANSWER_MS + 150);
     confirmFor(1_000);
   }
 
   /**
-   * Guards against a configuration that passes for newer than it is: an answer came before the wait
-   * was over, and the control thread was late to look at it.
+   * Guards against a configuration that is considered newer than it is, because a response arrived
+   * before the end of the wait and a delayed control thread processed it later.
    */
   @Test
-  void answersDoNotBecomeNewerWhileTheyWaitForTheControlThread() {
+  void delayedControlThreadDoesNotMakeResponsesNewer() {
     VirtualClock controlClock = new VirtualClock(10_000);
     WatchedStore early = new WatchedStore(clock);
     early.put((byte) 1);
@@ -230,10 +230,10 @@
     assertThat(late.confirmed()).isEqualTo(sent);
   }
 
-  /** The holder confirms again and again what this one knows. */
+  /** Simulates a holder that repeatedly confirms the known revision. */
   private void confirmFor(long durationMs) {
     for (long ms = 0; ms < durationMs; ms += BEAT_MS) {
-      follower.onHeard(follower.revision(), clock.upper());
+      follower.onPeerRevision(follower.revision(), clock.upper());
       clock.advance(BEAT_MS);
     }
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreResponseMonitorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreResponseMonitorTest.java
@@ -11,58 +11,58 @@
   private static final long WAIT_MS = 400;
 
   private final VirtualClock clock = new VirtualClock(10_000);
-  private final StoreResponseMonitor silence = new StoreResponseMonitor(clock, ANSWER_MS);
+  private final StoreResponseMonitor monitor = new StoreResponseMonitor(clock, ANSWER_MS);
 
   @Test
-  void whoHasAskedNothingHearsNoSilence() {
+  void storeWithoutCallsIsNotSilent() {
     clock.advance(60_000);
-    assertThat(silence.isSilent()).isFalse();
+    assertThat(monitor.isSilent()).isFalse();
   }
 
   @Test
-  void theAnswerIsDueAfterTheWait() {
-    silence.onCall(1, WAIT_MS);
+  void responseIsDueAfterTheWait() {
+    monitor.onCall(1, WAIT_MS);
     clock.advance(WAIT_MS + ANSWER_MS);
-    assertThat(silence.isSilent()).isFalse();
+    assertThat(monitor.isSilent()).isFalse();
     clock.advance(1);
-    assertThat(silence.isSilent()).isTrue();
-    silence.onAnswer(1, WAIT_MS);
+    assertThat(monitor.isSilent()).isTrue();
+    monitor.onAnswer(1, WAIT_MS);
     clock.advance(60_000);
-    assertThat(silence.isSilent()).isFalse();
+    assertThat(monitor.isSilent()).isFalse();
   }
 
-  /** Calls that are begun anew do not put off the moment at which the first answer was due. */
+  /** A repeated call must not extend the time at which the first response was due. */
   @Test
-  void callsThatAreBegunAnewAreNoAnswer() {
-    silence.onCall(1, WAIT_MS);
+  void repeatedCallsDoNotExtendTheDeadline() {
+    monitor.onCall(1, WAIT_MS);
     clock.advance(WAIT_MS + ANSWER_MS);
-    silence.onCall(2, WAIT_MS);
+    monitor.onCall(2, WAIT_MS);
     clock.advance(1);
-    assertThat(silence.isSilent()).isTrue();
+    assertThat(monitor.isSilent()).isTrue();
   }
 
-  /** An answer to an earlier call says that the store answers; the later one is due next. */
+  /** A response to an earlier call proves that the store responds; the later one is due next. */
   @Test
-  void theLateAnswerEndsTheSilenceUntilTheNextIsDue() {
-    silence.onCall(1, WAIT_MS);
-    silence.onCall(2, WAIT_MS);
+  void lateResponseEndsTheSilenceUntilTheNextIsDue() {
+    monitor.onCall(1, WAIT_MS);
+    monitor.onCall(2, WAIT_MS);
     clock.advance(2_000);
-    silence.onAnswer(1, WAIT_MS);
-    assertThat(silence.isSilent()).isFalse();
+    monitor.onAnswer(1, WAIT_MS);
+    assertThat(monitor.isSilent()).isFalse();
     clock.advance(WAIT_MS + ANSWER_MS + 1);
-    assertThat(silence.isSilent()).isTrue();
+    assertThat(monitor.isSilent()).isTrue();
   }
 
   @Test
-  void theRefusalOfTheNewestCallIsSilenceUntilAnAnswer() {
-    silence.onCall(1, 0);
-    silence.onCall(2, 0);
-    silence.onRefusal(1);
-    assertThat(silence.isSilent()).isFalse();
-    silence.onRefusal(2);
-    assertThat(silence.isSilent()).isTrue();
-    silence.onCall(3, 0);
-    silence.onAnswer(3, 0);
-    assertThat(silence.isSilent()).isFalse();
+  void refusalOfTheNewestCallIsSilenceUntilTheNextResponse() {
+    monitor.onCall(1, 0);
+    monitor.onCall(2, 0);
+    monitor.onRefusal(1);
+    assertThat(monitor.isSilent()).isFalse();
+    monitor.onRefusal(2);
+    assertThat(monitor.isSilent()).isTrue();
+    monitor.onCall(3, 0);
+    monitor.onAnswer(3, 0);
+    assertThat(monitor.isSilent()).isFalse();
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchDelayBoundsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchDelayBoundsTest.java
@@ -29,11 +29,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What silent connections, slow answers and refused calls may cost at most. */
+/** Upper bounds on delays caused by silent connections, slow responses and refused calls. */
 class WatchDelayBoundsTest {
 
   private static final long IN_FORCE_MS = 2_000;
-  private static final long WIDE_IN_FORCE_MS = 2_000;
+  private static final long LARGE_FLEET_IN_FORCE_MS = 2_000;
   private static final long BEAT_MS = 300;
 
   private final VirtualClock clock = new VirtualClock(10_000);
@@ -59,16 +59,16 @@
         result -> {});
   }
 
-  /** An answer that is there when the overdue wait is taken up anew, but not yet looked at. */
+  /** The response has arrived but is not processed when the overdue watch is repeated. */
   @Test
-  void theAnswerThatArrivesWhileTheWaitIsTakenUpAnewIsNotLost() {
+  void responseThatArrivesWhileTheWatchIsRepeatedIsNotLost() {
     store.put((byte) 1);
     KeyFollower follower = follower(store, 1_460);
     control.execute(follower::start);
     clock.advance(0);
     assertThat(follower.revision()).isEqualTo(2);
-    // The change of 500 ms later is answered 550 ms late: together with the look that finds the
-    // wait overdue. Timers that are due run before answers that arrived in the same moment.
+    // The response to the change 500 ms later takes 550 ms, so it arrives together with the check
+    // that finds the watch overdue. Due timers run before responses that arrive at the same time.
     store.setAnswerMs(550);
     clock.advance(499);
     store.put((byte) 2);
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void slowAnswersAreStillTaken() {
+  void slowResponsesAreProcessed() {
     store.put((byte) 1);
     KeyFollower follower = follower(store, 1_460);
     control.execute(follower::start);
@@ -91,53 +91,53 @@
   }
 
   @Test
-  void twoSilentConnectionsDelayChangesByLessThanTheirBound() {
+  void twoSilentConnectionsDelayChangesByLessThanTheBound() {
     long worst = worstDelayMs(8, 1);
     assertThat(worst).isAtMost(IN_FORCE_MS);
   }
 
   @Test
-  void silentWaitsOfWideFleetsDelayChangesByLessThanTheirBound() {
-    assertThat(worstDelayMs(87, 0)).isAtMost(WIDE_IN_FORCE_MS);
+  void silentWatchesOfLargeFleetsDelayChangesByLessThanTheBound() {
+    assertThat(worstDelayMs(87, 0)).isAtMost(LARGE_FLEET_IN_FORCE_MS);
   }
 
   @Test
-  void silentWaitsOfTheWidestFleetsDelayChangesByLessThanTheirBound() {
-    assertThat(worstDelayMs(300, 0)).isAtMost(WIDE_IN_FORCE_MS);
+  void silentWatchesOfTheLargestFleetsDelayChangesByLessThanTheBound() {
+    assertThat(worstDelayMs(300, 0)).isAtMost(LARGE_FLEET_IN_FORCE_MS);
   }
 
-  /** Whoever has no wait of its own at the store hears nothing when its links fall silent. */
+  /** A gateway without a watch of its own receives nothing when its connections become silent. */
   @Test
-  void silentLinksDelayChangesByLessThanTheirBoundWithoutWaits() {
+  void silentLinksDelayChangesByLessThanTheBoundWithoutWatches() {
     assertThat(worstDelayMs(DeputyChoice.DEPUTIES + 2, 1, true)).isAtMost(IN_FORCE_MS);
-    assertThat(worstDelayMs(70, 1, true)).isAtMost(WIDE_IN_FORCE_MS);
-    assertThat(worstDelayMs(87, 1, true)).isAtMost(WIDE_IN_FORCE_MS);
-    assertThat(worstDelayMs(300, 0, true)).isAtMost(WIDE_IN_FORCE_MS);
+    assertThat(worstDelayMs(70, 1, true)).isAtMost(LARGE_FLEET_IN_FORCE_MS);
+    assertThat(worstDelayMs(87, 1, true)).isAtMost(LARGE_FLEET_IN_FORCE_MS);
+    assertThat(worstDelayMs(300, 0, true)).isAtMost(LARGE_FLEET_IN_FORCE_MS);
   }
 
-  private long worstDelayMs(int processes, int silentBesides) {
-    return worstDelayMs(processes, silentBesides, false);
+  private long worstDelayMs(int processes, int furtherSilentCalls) {
+    return worstDelayMs(processes, furtherSilentCalls, false);
   }
 
-  /** The wait and the link to the holder fall silent together, right after the holder's word. */
-  private long worstDelayMs(int processes, int silentBesides, boolean entirelyReliant) {
+  /** The watch and the link to the holder become silent together, just after a confirmation. */
+  private long worstDelayMs(int processes, int furtherSilentCalls, boolean reliesEntirely) {
     FleetPace pace = new FleetPace(new RoutingState(processes));
-    Reliance reliance = new Reliance(pace::confirmedMs, () -> entirelyReliant);
+    Reliance reliance = new Reliance(pace::confirmedMs, () -> reliesEntirely);
     long worst = 0;
     for (int phase = 0; phase < 150; phase += 10) {
-      CursorStore one = new CursorStore(clock);
-      one.put((byte) 1);
-      KeyFollower follower = follower(one, reliance);
+      CursorStore ofFollower = new CursorStore(clock);
+      ofFollower.put((byte) 1);
+      KeyFollower follower = follower(ofFollower, reliance);
       control.execute(follower::start);
       confirm(follower, 3_000);
       clock.advance(phase);
-      // The holder's own knowledge is at least a short wait and an answer old.
-      follower.onHeard(follower.revision(), clock.upper().minusMs(504));
-      one.setAnswerMs(60_000);
-      one.put((byte) 2);
+      // The data of the holder is at least one short wait and one response time old.
+      follower.onPeerRevision(follower.revision(), clock.upper().minusMs(504));
+      ofFollower.setAnswerMs(60_000);
+      ofFollower.put((byte) 2);
       clock.advance(1);
-      one.setAnswerMs(4);
-      one.silenceNextCalls(silentBesides);
+      ofFollower.setAnswerMs(4);
+      ofFollower.silenceNextCalls(furtherSilentCalls);
       long delayMs = 1;
       while (follower.revision() < 3 && delayMs < 20_000) {
         clock.advance(1);
@@ -150,9 +150,9 @@
     return worst;
   }
 
-  /** A holder and a gateway; both follow the same key at a store that is slow or not. */
+  /** A holder and another gateway follow the same key at a store that is fast or slow. */
   @Test
-  void slowStoresCostNoManifoldOfCalls() {
+  void slowStoreDoesNotMultiplyCalls() {
     int quick = callsInOneMinute(4);
     int slow = callsInOneMinute(200);
     assertThat(slow).isAtMost(quick + 10);
@@ -175,7 +175,7 @@
       clock.advance(1_000);
       int before = ofOther.calls();
       for (long ms = 0; ms < 60_000; ms += BEAT_MS) {
-        other.onHeard(holder.revision(), clock.upper().minusMs(holder.ageMs()));
+        other.onPeerRevision(holder.revision(), clock.upper().minusMs(holder.ageMs()));
         clock.advance(BEAT_MS);
       }
       worst = Math.max(worst, ofOther.calls() - before);
@@ -186,9 +186,9 @@
     return worst;
   }
 
-  /** Changes come every 900 ms, as in the incident; a gateway is cut off from the store alone. */
+  /** Changes occur every 900 ms while one gateway is cut off from the store only. */
   @Test
-  void whoLacksManyChangesIsSentTheConfiguration() {
+  void gatewayThatMissedManyChangesIsSentTheConfiguration() {
     store.put((byte) 1);
     ConfigurationWatch watch =
         new ConfigurationWatch(
@@ -214,14 +214,14 @@
     assertThat(sent).isTrue();
   }
 
-  /** The store refuses one write (429, 503) after it has given a lease; nobody holds the term. */
+  /** The store refuses a write (429, 503) after it has granted a lease; the term is vacant. */
   @Test
-  void vacantTermsAreTaken() {
+  void vacantTermIsAcquired() {
     assertThat(eventsOfOneCandidate(0)).contains("gained");
   }
 
   @Test
-  void vacantTermsAreTakenAfterOneRefusedWrite() {
+  void vacantTermIsAcquiredAfterOneRefusedWrite() {
     assertThat(eventsOfOneCandidate(1)).contains("gained");
   }
 
@@ -264,9 +264,9 @@
     return seen;
   }
 
-  /** The wait falls silent; the caller of the store gives up after 1,100 + 1,500 ms. */
+  /** The watch becomes silent; the store client gives up after 1,100 + 1,500 ms. */
   @Test
-  void targetsThatLeaveAreNoticedWithinTheirDrain() {
+  void leavingTargetIsDetectedWithinItsDrainTime() {
     FleetTarget target = target("a");
     TargetRegistry registry =
         new TargetRegistry() {
@@ -306,9 +306,9 @@
     assertThat(follower.register().all()).isEmpty();
   }
 
-  /** Each answer takes longer than the bound after which a call is begun anew. */
+  /** Each response takes longer than the time after which a call is repeated. */
   @Test
-  void changesOfTargetsAreHeardFromSlowStores() {
+  void targetChangesAreReceivedFromSlowStores() {
     AtomicInteger calls = new AtomicInteger();
     TargetRegistry registry =
         new TargetRegistry() {
@@ -355,7 +355,7 @@
 
   private void confirm(KeyFollower follower, long durationMs) {
     for (long ms = 0; ms < durationMs; ms += BEAT_MS) {
-      follower.onHeard(follower.revision(), clock.upper());
+      follower.onPeerRevision(follower.revision(), clock.upper());
       clock.advance(BEAT_MS);
     }
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchedStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchedStore.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A store with one key that answers waiting calls when it changes, unless they fell silent. */
+/** A store with one key that responds to pending watches on a change, unless they were silenced. */
 final class WatchedStore extends ReadOnlyStore {
 
   private final VirtualClock clock;
@@ -24,26 +24,24 @@
     this.clock = clock;
   }
 
-  /** Writes the key. */
   void put(byte... bytes) {
     revision++;
     value = Optional.of(new StoreValue(bytes, revision));
     answer();
   }
 
-  /** Removes the key. */
   void remove() {
     revision++;
     value = Optional.empty();
     answer();
   }
 
-  /** The connections of calls that wait now carry nothing any more; nobody is told. */
+  /** Drops the responses of all pending calls, as on connections that stopped without an error. */
   void silenceWaitingCalls() {
     waiting.clear();
   }
 
-  /** Answers calls that wait, before their time, that nothing has changed. */
+  /** Responds to all pending calls before the end of their wait that nothing has changed. */
   void endWaitsUnchanged() {
     List<CompletableFuture<WatchResult>> due = List.copyOf(waiting);
     waiting.clear();
@@ -51,12 +49,12 @@
         answer -> answer.complete(new WatchResult(WatchResult.Event.UNCHANGED, Optional.empty())));
   }
 
-  /** Refuses every call, or no longer. */
+  /** Sets whether the store responds; if not, every call fails. */
   void setAvailable(boolean now) {
     available = now;
   }
 
-  /** Returns how long each call so far was ready to wait; milliseconds. */
+  /** Returns the wait of each call so far; milliseconds. */
   List<Long> waits() {
     return waits;
   }
