--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
@@ -25,59 +25,64 @@
 import java.util.stream.Collectors;
 
 /**
- * Lets the fleet know under which requests targets end, and puts those in quarantine that end one
- * target after the other.
+ * Replicates which requests were running when targets crashed, and quarantines requests that crash
+ * one target after another.
  *
- * <p>A request comes back at any gateway, so none of them sees enough alone. The holder of the term
- * and its deputies hear of every crash, everybody of requests under which two targets ended, by a
- * {@link StateExchange}. For the control thread.
+ * <p>A request may be retried at any gateway, so no gateway alone sees enough crashes. By a {@link
+ * StateExchange} the holder of the term and its deputies receive every crash, and all gateways
+ * receive the requests that crashed two targets. Confined to the control thread.
  */
-final class CrashCoordinator implements StateExchange.Knowledge<CrashNews> {
+final class CrashCoordinator implements StateExchange.LocalState<CrashNews> {
 
-  /** Whom a gateway tells. */
-  interface Audience extends FleetAudience {
+  /** The gateways that can be sent messages, and the store. */
+  interface Peers extends FleetAudience {
 
-    /** Tells whether this process holds the term. */
+    /** Returns whether this process holds the term. */
     boolean isHolder();
 
-    /** Keeps, as the holder, what is in quarantine for a fleet that is lost whole. */
+    /** Stores the quarantined requests, as the holder, in case the whole fleet is lost. */
     void keep(CrashNews quarantined);
   }
 
-  /** Seen by this gateway itself and kept for a holder to come; the oldest go first. */
-  private static final int MOST_SEEN = 64;
+  /**
+   * Number of requests with crashes seen by this gateway that are kept for a later holder. The
+   * oldest are evicted.
+   */
+  private static final int MAX_LOCAL_CRASHES = 64;
 
-  /** A permit is used within a second, and half a second later everybody knows how it went. */
-  private static final long TRIAL_MS = 1_500;
+  /**
+   * Duration of a trial. A permit is used within 1 s, and all gateways know the result 0.5 s later.
+   */
+  private static final long TRIAL_DURATION_MS = 1_500;
 
   private final CrashLedger ledger;
   private final RequestQuarantine quarantine;
-  private final Audience audience;
+  private final Peers peers;
   private final StateExchange<CrashNews> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
-  private final Set<RequestFingerprint> seen = new LinkedHashSet<>();
-  private final Map<RequestFingerprint, Long> trialsUntilMs = new HashMap<>();
+  private final Set<RequestFingerprint> locallySeen = new LinkedHashSet<>();
+  private final Map<RequestFingerprint, Long> trialsEndMs = new HashMap<>();
   private Set<RequestFingerprint> watched = Set.of();
-  private long keptDigest;
-  private Map<RequestFingerprint, Long> refused = Map.of();
+  private long storedDigest;
+  private Map<RequestFingerprint, Long> quarantined = Map.of();
   private final Map<RequestFingerprint, Integer> crashCounts = new HashMap<>();
 
   CrashCoordinator(
       CrashLedger ledger,
       RequestQuarantine quarantine,
-      Audience audience,
+      Peers peers,
       MillisClock clock,
       DecisionLog log) {
     this.ledger = ledger;
     this.quarantine = quarantine;
-    this.audience = audience;
-    this.exchange = new StateExchange<>(this, audience);
+    this.peers = peers;
+    this.exchange = new StateExchange<>(this, peers);
     this.clock = clock;
     this.log = log;
   }
 
-  /** Targets have ended while they ran requests of this gateway. */
+  /** Processes crashes of targets that were running requests of this gateway. */
   void onCrashed(List<BrokenAttempt> attempts) {
     long nowMs = clock.nowMs();
     Set<RequestFingerprint> news = new LinkedHashSet<>();
@@ -93,7 +98,7 @@
       noteCrash(attempt.identity().content(), attempt.asCrash(), nowMs, news);
       noteCrash(attempt.identity().contentAndCaller(), attempt.asCrash(), nowMs, news);
     }
-    takeEffect(news, Set.of());
+    applyChanges(news, Set.of());
   }
 
   private void noteCrash(
@@ -103,72 +108,72 @@
     }
   }
 
-  /** A request that is watched was answered through this gateway. */
+  /** Processes the response to a watched request that this gateway forwarded. */
   void onAnswered(RequestFingerprint fingerprint) {
     long nowMs = clock.nowMs();
     if (ledger.onAnswer(fingerprint, nowMs, nowMs)) {
-      takeEffect(Set.of(fingerprint), Set.of());
+      applyChanges(Set.of(fingerprint), Set.of());
     }
   }
 
-  /** Another process tells what it knows. */
+  /** Processes crashes sent by another process. */
   void onNews(CrashNews news, Consumer<FleetMessage> sender) {
     long nowMs = clock.nowMs();
-    Set<RequestFingerprint> heard = new LinkedHashSet<>();
+    Set<RequestFingerprint> learned = new LinkedHashSet<>();
     for (CrashReport report : news.reports()) {
       if (ledger.merge(report, nowMs)) {
-        heard.add(report.fingerprint());
+        learned.add(report.fingerprint());
       }
     }
-    takeEffect(Set.of(), heard);
+    applyChanges(Set.of(), learned);
     if (news.complete()) {
       exchange.onComplete(news, sender);
     }
   }
 
   @Override
-  public Optional<CrashNews> missingFrom(CrashNews told) {
-    Set<RequestFingerprint> lacking = new HashSet<>(watched);
-    for (CrashReport report : told.reports()) {
+  public Optional<CrashNews> missingFrom(CrashNews received) {
+    Set<RequestFingerprint> missing = new HashSet<>(watched);
+    for (CrashReport report : received.reports()) {
       RequestFingerprint fingerprint = report.fingerprint();
       if (report.runs().size() >= ledger.crashesOf(fingerprint).size()) {
-        lacking.remove(fingerprint);
+        missing.remove(fingerprint);
       }
       if (!watched.contains(fingerprint) && ledger.wasAnswered(fingerprint)) {
-        lacking.add(fingerprint);
+        missing.add(fingerprint);
       }
     }
-    return lacking.isEmpty()
+    return missing.isEmpty()
         ? Optional.empty()
-        : Optional.of(new CrashNews(false, ledger.reports(lacking, clock.nowMs())));
+        : Optional.of(new CrashNews(false, ledger.reports(missing, clock.nowMs())));
   }
 
-  /** This gateway has a request that is watched. */
+  /** Requests a trial permit for a watched request of this gateway. */
   void onTrialWanted(RequestFingerprint fingerprint) {
-    if (audience.isHolder()) {
+    if (peers.isHolder()) {
       onTrialRequest(fingerprint, permit -> quarantine.permitTrial(fingerprint));
     } else {
       exchange.tellHolder(new TrialRequest(fingerprint));
     }
   }
 
-  /** A gateway asks this one, the holder: one at a time gets a permit. */
+  /** Processes a trial request, as the holder. Grants one permit at a time for each request. */
   void onTrialRequest(RequestFingerprint fingerprint, Consumer<FleetMessage> sender) {
     long nowMs = clock.nowMs();
-    trialsUntilMs.values().removeIf(untilMs -> untilMs <= nowMs);
-    if (!audience.isHolder() || trialsUntilMs.containsKey(fingerprint)) {
+    trialsEndMs.values().removeIf(untilMs -> untilMs <= nowMs);
+    if (!peers.isHolder() || trialsEndMs.containsKey(fingerprint)) {
       return;
     }
-    trialsUntilMs.put(fingerprint, nowMs + TRIAL_MS);
+    trialsEndMs.put(fingerprint, nowMs + TRIAL_DURATION_MS);
     sender.accept(new TrialPermit(fingerprint));
   }
 
-  /** The holder permits this gateway one trial. */
+  /** Processes a permit of the holder for one trial. */
   void onTrialPermit(RequestFingerprint fingerprint) {
     quarantine.permitTrial(fingerprint);
   }
 
-  /** Another process says which requests it watches, in short. */
+  /** Processes the digest of watched requests of another process. */
   void onDigest(long digest, Consumer<FleetMessage> sender) {
     exchange.onDigest(digest, sender);
   }
@@ -178,10 +183,10 @@
     return new CrashNews(true, ledger.reports(watched, clock.nowMs()));
   }
 
-  /** Returns what this process knows of requests that it watches, in short; 0 if of none. */
+  /** Returns a digest of the watched requests and their crashes; 0 if there is none. */
   @Override
   public long digest() {
-    refresh();
+    refreshQuarantine();
     return watched.stream().mapToLong(this::digestOf).sum();
   }
 
@@ -189,70 +194,73 @@
     return fingerprint.value() * ledger.crashesOf(fingerprint).size();
   }
 
-  /** The holder and its deputies, as known now: new ones hear what this gateway saw itself. */
+  /**
+   * Sets the addresses of the holder, empty if it is this gateway, and of its deputies. New ones
+   * are sent the crashes that this gateway has seen.
+   */
   void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
     Set<String> added = exchange.onHolderAndDeputies(holderAddress, deputies);
-    if (!added.isEmpty() && !seen.isEmpty()) {
-      CrashNews all = new CrashNews(false, ledger.reports(seen, clock.nowMs()));
-      added.forEach(address -> audience.tell(address, all));
+    if (!added.isEmpty() && !locallySeen.isEmpty()) {
+      CrashNews all = new CrashNews(false, ledger.reports(locallySeen, clock.nowMs()));
+      added.forEach(address -> peers.tell(address, all));
     }
   }
 
-  /** Takes changes into force, and tells those who have to know. */
-  private void takeEffect(Set<RequestFingerprint> ownNews, Set<RequestFingerprint> heard) {
-    if (ownNews.isEmpty() && heard.isEmpty()) {
+  /** Applies changes and sends them to the gateways that need them. */
+  private void applyChanges(Set<RequestFingerprint> ownChanges, Set<RequestFingerprint> learned) {
+    if (ownChanges.isEmpty() && learned.isEmpty()) {
       return;
     }
     final Set<RequestFingerprint> before = watched;
-    refresh();
-    Set<RequestFingerprint> own = new LinkedHashSet<>(ownNews);
+    refreshQuarantine();
+    Set<RequestFingerprint> own = new LinkedHashSet<>(ownChanges);
     own.addAll(clearAnswered());
-    remember(own);
-    tellConfidants(own);
-    if (audience.isHolder()) {
-      Set<RequestFingerprint> spread = new LinkedHashSet<>(own);
-      spread.addAll(heard);
-      spread.removeIf(changed -> !before.contains(changed) && !watched.contains(changed));
-      tellAll(spread);
-      keepQuarantined();
+    rememberLocal(own);
+    tellHolderAndDeputies(own);
+    if (peers.isHolder()) {
+      Set<RequestFingerprint> broadcast = new LinkedHashSet<>(own);
+      broadcast.addAll(learned);
+      broadcast.removeIf(changed -> !before.contains(changed) && !watched.contains(changed));
+      tellAll(broadcast);
+      storeQuarantined();
     }
   }
 
-  private void keepQuarantined() {
-    long digest = refused.keySet().stream().mapToLong(this::digestOf).sum();
-    if (digest != keptDigest) {
-      keptDigest = digest;
-      audience.keep(new CrashNews(false, ledger.reports(refused.keySet(), clock.nowMs())));
+  private void storeQuarantined() {
+    long digest = quarantined.keySet().stream().mapToLong(this::digestOf).sum();
+    if (digest != storedDigest) {
+      storedDigest = digest;
+      peers.keep(new CrashNews(false, ledger.reports(quarantined.keySet(), clock.nowMs())));
     }
   }
 
-  /** This process holds the term now, and this is what the holder before it kept. */
+  /** Merges the quarantine stored by the previous holder, after this process acquired the term. */
   void onStored(CrashNews stored) {
     onNews(stored, message -> {});
-    keepQuarantined();
+    storeQuarantined();
   }
 
-  private void tellConfidants(Set<RequestFingerprint> changed) {
+  private void tellHolderAndDeputies(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      exchange.tellConfidants(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
+      exchange.tellHolderAndDeputies(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
     }
   }
 
   private void tellAll(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      audience.tellAll(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
+      peers.tellAll(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
     }
   }
 
-  private void remember(Set<RequestFingerprint> changed) {
-    seen.removeAll(changed);
-    seen.addAll(changed);
-    List<RequestFingerprint> inOrder = new ArrayList<>(seen);
-    int tooMany = Math.max(0, inOrder.size() - MOST_SEEN);
-    inOrder.subList(0, tooMany).forEach(seen::remove);
+  private void rememberLocal(Set<RequestFingerprint> changed) {
+    locallySeen.removeAll(changed);
+    locallySeen.addAll(changed);
+    List<RequestFingerprint> inOrder = new ArrayList<>(locallySeen);
+    int excess = Math.max(0, inOrder.size() - MAX_LOCAL_CRASHES);
+    inOrder.subList(0, excess).forEach(locallySeen::remove);
   }
 
-  /** What has just come under suspicion may have been answered here a moment ago. */
+  /** Clears newly watched requests that were answered by way of this gateway recently. */
   private Set<RequestFingerprint> clearAnswered() {
     long nowMs = clock.nowMs();
     Set<RequestFingerprint> cleared = new LinkedHashSet<>();
@@ -267,24 +275,24 @@
               });
     }
     if (!cleared.isEmpty()) {
-      refresh();
+      refreshQuarantine();
     }
     return cleared;
   }
 
-  private void refresh() {
+  private void refreshQuarantine() {
     long nowMs = clock.nowMs();
     watched = ledger.watched(nowMs);
     Map<RequestFingerprint, Long> now = ledger.quarantinedUntilMs(nowMs);
     now.forEach((fingerprint, untilMs) -> logBegin(fingerprint, untilMs - nowMs));
-    refused.keySet().stream()
+    quarantined.keySet().stream()
         .filter(fingerprint -> !now.containsKey(fingerprint))
         .forEach(this::logEnd);
-    refused = now;
+    quarantined = now;
     quarantine.install(now, watched);
   }
 
-  /** Writes a line for a new quarantine and for one that a further crash made longer. */
+  /** Logs a new quarantine and one that was extended by a further crash. */
   private void logBegin(RequestFingerprint fingerprint, long forMs) {
     List<CrashedRun> crashes = ledger.crashesOf(fingerprint);
     Integer countBefore = crashCounts.put(fingerprint, crashes.size());
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
@@ -21,12 +21,12 @@
  * Connects the {@link CrashCoordinator} of this gateway with its traffic, the other gateways and
  * the store. For the control thread.
  */
-final class CrashLink extends PeerAudience implements CrashCoordinator.Audience {
+final class CrashLink extends PeerAudience implements CrashCoordinator.Peers {
 
   private final ControlThread control;
   private final TrafficReports reports;
-  private final CrashCoordinator desk;
-  private final QuarantineStore archive;
+  private final CrashCoordinator coordinator;
+  private final QuarantineStore quarantineStore;
   private boolean holder;
 
   CrashLink(
@@ -42,55 +42,56 @@
     super(network, subscribers);
     this.control = control;
     this.reports = reports;
-    this.desk = new CrashCoordinator(ledger, reports.quarantine(), this, clock, log);
-    this.archive = new QuarantineStore(store, control, log, codec, desk::onStored);
+    this.coordinator = new CrashCoordinator(ledger, reports.quarantine(), this, clock, log);
+    this.quarantineStore = new QuarantineStore(store, control, log, codec, coordinator::onStored);
   }
 
   void start() {
-    reports.onCrash(attempts -> control.execute(() -> desk.onCrashed(attempts)));
+    reports.onCrash(attempts -> control.execute(() -> coordinator.onCrashed(attempts)));
     reports
         .quarantine()
-        .onAnswered(fingerprint -> control.execute(() -> desk.onAnswered(fingerprint)));
+        .onAnswered(fingerprint -> control.execute(() -> coordinator.onAnswered(fingerprint)));
     reports
         .quarantine()
-        .onTrialWanted(fingerprint -> control.execute(() -> desk.onTrialWanted(fingerprint)));
+        .onTrialWanted(
+            fingerprint -> control.execute(() -> coordinator.onTrialWanted(fingerprint)));
   }
 
-  /** This gateway holds the term now. */
+  /** Called when this gateway has acquired the term. */
   void onGained() {
     holder = true;
-    archive.open();
+    quarantineStore.open();
   }
 
-  /** This gateway holds the term no longer. */
+  /** Called when this gateway no longer holds the term. */
   void onLost() {
     holder = false;
-    archive.close();
+    quarantineStore.close();
   }
 
-  /** Returns what this gateway knows, in short, for its hellos. */
+  /** Returns the digest of known crashes for the hellos of this gateway. */
   long digest() {
-    return desk.digest();
+    return coordinator.digest();
   }
 
   void onHello(PeerChannel sender, FleetHello hello) {
-    desk.onDigest(hello.crashDigest(), sender::send);
+    coordinator.onDigest(hello.crashDigest(), sender::send);
   }
 
-  /** Takes a message, if it is about requests under which targets end. */
+  /** Processes a message if it concerns requests that crash targets. */
   void onMessage(PeerChannel sender, PeerMessage message) {
-    if (message instanceof CrashNews news) {
-      desk.onNews(news, sender::send);
+    if (message instanceof CrashNews update) {
+      coordinator.onNews(update, sender::send);
     } else if (message instanceof TrialRequest request) {
-      desk.onTrialRequest(request.fingerprint(), sender::send);
+      coordinator.onTrialRequest(request.fingerprint(), sender::send);
     } else if (message instanceof TrialPermit permit) {
-      desk.onTrialPermit(permit.fingerprint());
+      coordinator.onTrialPermit(permit.fingerprint());
     }
   }
 
-  /** The holder, unless it is this gateway, and its deputies are these. */
+  /** Sets the addresses of the holder, empty if it is this gateway, and of its deputies. */
   void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
-    desk.onHolderAndDeputies(holderAddress, deputies);
+    coordinator.onHolderAndDeputies(holderAddress, deputies);
   }
 
   @Override
@@ -100,6 +101,6 @@
 
   @Override
   public void keep(CrashNews quarantined) {
-    archive.keep(quarantined);
+    quarantineStore.keep(quarantined);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
@@ -16,87 +16,86 @@
 import java.util.function.Predicate;
 
 /**
- * Lets the fleet know which targets have said in an answer that they leave.
+ * Replicates which targets have announced in a response that they are leaving.
  *
- * <p>The first gateway that hears it tells all others by a {@link StateExchange}: the registry may
- * tell it much later, or never. For the control thread.
+ * <p>The first gateway that receives the announcement informs all others by a {@link
+ * StateExchange}, because the registry may report it much later or never. Confined to the control
+ * thread.
  */
-final class DepartureCoordinator implements StateExchange.Knowledge<DepartureNews> {
+final class DepartureCoordinator implements StateExchange.LocalState<DepartureNews> {
 
   private final DepartureLedger ledger = new DepartureLedger();
-  private final FleetAudience audience;
+  private final FleetAudience peers;
   private final StateExchange<DepartureNews> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
   private final Consumer<Set<TargetId>> onChange;
 
   /**
-   * Creates a desk that knows of no departure.
+   * Creates a coordinator without departures.
    *
-   * @param audience whom this gateway tells; reaches nobody but the holder's followers; not null
+   * @param peers the other gateways; a message to all reaches only followers of the holder; not
+   *     null
    * @param clock the time; not null
-   * @param log takes decisions; not null
-   * @param onChange takes all runs that leave, after each change; not null
+   * @param log the decision log; not null
+   * @param onChange receives all leaving targets after each change; not null
    */
   DepartureCoordinator(
-      FleetAudience audience,
-      MillisClock clock,
-      DecisionLog log,
-      Consumer<Set<TargetId>> onChange) {
-    this.audience = audience;
-    this.exchange = new StateExchange<>(this, audience);
+      FleetAudience peers, MillisClock clock, DecisionLog log, Consumer<Set<TargetId>> onChange) {
+    this.peers = peers;
+    this.exchange = new StateExchange<>(this, peers);
     this.clock = clock;
     this.log = log;
     this.onChange = onChange;
   }
 
-  /** A target has said to this gateway that it leaves. */
+  /** Processes a departure that a target announced to this gateway. */
   void onSeen(TargetId target) {
     if (ledger.add(target, clock.nowMs())) {
       log.write("target_leaving", "target={} source=answer", target);
-      takeEffect(List.of(target));
-      exchange.tellConfidants(newsOf(List.of(target)));
+      applyChanges(List.of(target));
+      exchange.tellHolderAndDeputies(updateOf(List.of(target)));
     }
   }
 
-  /** Another process tells what it knows. */
-  void onNews(DepartureNews news, Consumer<FleetMessage> sender) {
-    Set<TargetId> heard = new HashSet<>();
-    for (DepartureReport report : news.reports()) {
+  /** Processes departures sent by another process. */
+  void onNews(DepartureNews update, Consumer<FleetMessage> sender) {
+    Set<TargetId> learned = new HashSet<>();
+    for (DepartureReport report : update.reports()) {
       if (ledger.merge(report, clock.nowMs())) {
-        heard.add(report.target());
+        learned.add(report.target());
         log.write("target_leaving", "target={} source=heard", report.target());
       }
     }
-    if (!heard.isEmpty()) {
-      takeEffect(heard);
+    if (!learned.isEmpty()) {
+      applyChanges(learned);
     }
-    if (news.complete()) {
-      exchange.onComplete(news, sender);
+    if (update.complete()) {
+      exchange.onComplete(update, sender);
     }
   }
 
-  /** Followers hear of it, if this gateway holds the term; else it has none. */
-  private void takeEffect(Collection<TargetId> changed) {
+  /** Applies changes and sends them to followers; only the holder of the term has followers. */
+  private void applyChanges(Collection<TargetId> changed) {
     onChange.accept(ledger.targets());
-    audience.tellAll(newsOf(changed));
+    peers.tellAll(updateOf(changed));
   }
 
-  private DepartureNews newsOf(Collection<TargetId> targets) {
+  private DepartureNews updateOf(Collection<TargetId> targets) {
     return new DepartureNews(false, ledger.reports(targets, clock.nowMs()));
   }
 
-  /** Another process says hello, and in short which departures it knows. */
+  /** Processes the digest of departures in the hello of another process. */
   void onDigest(long digest, Consumer<FleetMessage> sender) {
     exchange.onDigest(digest, sender);
   }
 
-  /** The holder, unless it is this gateway, and its deputies are these. */
+  /** Sets the addresses of the holder, empty if it is this gateway, and of its deputies. */
   void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
     exchange.onHolderAndDeputies(holderAddress, deputies);
   }
 
-  /** Forgets runs that have long been gone. */
+  /** Removes departures of targets that have not been registered for a long time. */
   void forget(Predicate<TargetId> registered) {
     if (ledger.forget(registered, clock.nowMs())) {
       onChange.accept(ledger.targets());
@@ -114,9 +113,9 @@
   }
 
   @Override
-  public Optional<DepartureNews> missingFrom(DepartureNews told) {
-    Set<TargetId> lacking = new HashSet<>(ledger.targets());
-    told.reports().forEach(report -> lacking.remove(report.target()));
-    return lacking.isEmpty() ? Optional.empty() : Optional.of(newsOf(lacking));
+  public Optional<DepartureNews> missingFrom(DepartureNews received) {
+    Set<TargetId> missing = new HashSet<>(ledger.targets());
+    received.reports().forEach(report -> missing.remove(report.target()));
+    return missing.isEmpty() ? Optional.empty() : Optional.of(updateOf(missing));
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
@@ -25,7 +25,7 @@
   private final ControlThread control;
   private final TargetDepartures departures;
   private final Runnable onChange;
-  private final DepartureCoordinator desk;
+  private final DepartureCoordinator coordinator;
 
   DepartureLink(
       PeerNetwork network,
@@ -40,39 +40,39 @@
     this.control = control;
     this.departures = departures;
     this.onChange = onChange;
-    this.desk =
+    this.coordinator =
         new DepartureCoordinator(
-            new PeerAudience(network, subscribers), clock, log, this::takeEffect);
+            new PeerAudience(network, subscribers), clock, log, this::applyDepartures);
   }
 
   void start() {
-    departures.onSeen(target -> control.execute(() -> desk.onSeen(target)));
+    departures.onSeen(target -> control.execute(() -> coordinator.onSeen(target)));
   }
 
-  private void takeEffect(Set<TargetId> leaving) {
+  private void applyDepartures(Set<TargetId> leaving) {
     state.update(snapshot -> snapshot.withLeaving(leaving));
     onChange.run();
   }
 
-  /** Returns what this gateway knows, in short, for its hellos. */
+  /** Returns the digest of known departures for the hellos of this gateway. */
   long digest() {
-    return desk.digest();
+    return coordinator.digest();
   }
 
   void onHello(PeerChannel sender, FleetHello hello) {
-    desk.onDigest(hello.departureDigest(), sender::send);
+    coordinator.onDigest(hello.departureDigest(), sender::send);
   }
 
-  /** Takes a message, if it is about departures. */
+  /** Processes a message if it concerns departures. */
   void onMessage(PeerChannel sender, PeerMessage message) {
-    if (message instanceof DepartureNews news) {
-      desk.onNews(news, sender::send);
+    if (message instanceof DepartureNews update) {
+      coordinator.onNews(update, sender::send);
     }
   }
 
-  /** The holder, unless it is this gateway, and its deputies are these. */
+  /** Sets the addresses of the holder, empty if it is this gateway, and of its deputies. */
   void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
-    desk.onHolderAndDeputies(holderAddress, deputies);
-    desk.forget(target -> state.current().target(target).isPresent());
+    coordinator.onHolderAndDeputies(holderAddress, deputies);
+    coordinator.forget(target -> state.current().target(target).isPresent());
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuarantineStore.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuarantineStore.java
@@ -15,12 +15,11 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps in the store which requests are in quarantine, so that a fleet that was lost whole knows
- * them when it starts again.
+ * Persists the quarantined requests, so that they survive the loss of the whole fleet.
  *
- * <p>The holder reads once when it gains the term, and writes when something changes. Ages in the
- * store are those of the moment of writing: a quarantine that is read again lasts longer by the
- * time in between. For the control thread.
+ * <p>The holder reads them once when it acquires the term and writes them after each change. The
+ * stored ages are relative to the time of writing, so a quarantine that is read back lasts longer
+ * by the time since then. Confined to the control thread.
  */
 final class QuarantineStore {
 
@@ -51,7 +50,7 @@
     this.onRead = onRead;
   }
 
-  /** This process holds the term now. */
+  /** Reads the stored quarantine, after this process acquired the term. */
   void open() {
     open = true;
     if (!busy) {
@@ -59,13 +58,13 @@
     }
   }
 
-  /** This process holds the term no longer. */
+  /** Stops writing, because this process no longer holds the term. */
   void close() {
     open = false;
     unwritten = Optional.empty();
   }
 
-  /** Replaces what is stored, as soon as the store takes it. */
+  /** Replaces the stored quarantine as soon as the store is available. */
   void keep(CrashNews quarantined) {
     if (open) {
       unwritten = Optional.of(quarantined);
@@ -126,7 +125,7 @@
     } else if (result.outcome() == StoreOutcome.UNAVAILABLE) {
       retry(this::writeNext);
     } else {
-      // Another holder wrote, or this one without hearing of it: what is there counts too.
+      // Another holder wrote, or an earlier write succeeded unnoticed; merge the stored value.
       read();
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
@@ -18,112 +18,112 @@
 import java.util.function.Consumer;
 
 /**
- * Lets the fleet know which targets name a limit, and has the holder of the term give out what they
- * take.
+ * Replicates the rate limits that targets announce, and lets the holder of the term grant quota.
  *
- * <p>Limits are known to all by a {@link StateExchange}. For the control thread.
+ * <p>A {@link StateExchange} replicates the limits to all gateways. Confined to the control thread.
  */
-final class QuotaCoordinator implements StateExchange.Knowledge<LimitNews> {
+final class QuotaCoordinator implements StateExchange.LocalState<LimitNews> {
 
-  /** Whom a gateway tells. */
-  interface Audience extends FleetAudience {
+  /** The gateways that can be sent messages. */
+  interface Peers extends FleetAudience {
 
     /** Returns how many gateways follow this one, the holder. */
     int followers();
   }
 
   /**
-   * For how long a gateway that is silent still counts: it may be cut off from the holder alone,
-   * and go on with its own small part.
+   * How long a silent gateway still counts. It may be cut off from the holder only and continue
+   * with its own small share.
    */
-  private static final long SILENT_MS = 10_000;
+  private static final long GATEWAY_EXPIRY_MS = 10_000;
 
-  private static final int MOST_GATEWAYS = 2_048;
+  private static final int MAX_TRACKED_GATEWAYS = 2_048;
 
   private final String process;
   private final TargetQuotas quotas;
-  private final Audience audience;
+  private final Peers peers;
   private final StateExchange<LimitNews> exchange;
   private final MillisClock clock;
-  private final Map<String, Long> heardMs = new HashMap<>();
+  private final Map<String, Long> lastHelloMs = new HashMap<>();
   private Optional<QuotaIssuer> issuer = Optional.empty();
-  private int inheritedGateways;
+  private int initialGateways;
   private long gainedMs;
 
-  QuotaCoordinator(String process, TargetQuotas quotas, Audience audience, MillisClock clock) {
+  QuotaCoordinator(String process, TargetQuotas quotas, Peers peers, MillisClock clock) {
     this.process = process;
     this.quotas = quotas;
-    this.audience = audience;
-    this.exchange = new StateExchange<>(this, audience);
+    this.peers = peers;
+    this.exchange = new StateExchange<>(this, peers);
     this.clock = clock;
   }
 
-  /** This gateway holds the term now; there were so many gateways, as far as it has heard. */
+  /** Starts granting quota as the holder, with the last known number of gateways. */
   void onGained(int gateways) {
-    inheritedGateways = gateways;
+    initialGateways = gateways;
     gainedMs = clock.nowMs();
     QuotaIssuer next = new QuotaIssuer();
     next.setLimits(quotas.limits(), gainedMs);
     issuer = Optional.of(next);
   }
 
-  /** This gateway holds the term no longer. */
+  /** Stops granting quota, because this gateway no longer holds the term. */
   void onLost() {
     issuer = Optional.empty();
-    heardMs.clear();
+    lastHelloMs.clear();
   }
 
-  /** The holder, unless it is this gateway, and its deputies are these. */
-  void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputyAddresses) {
-    exchange.onHolderAndDeputies(holderAddress, deputyAddresses);
+  /** Sets the addresses of the holder, empty if it is this gateway, and of its deputies. */
+  void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
+    exchange.onHolderAndDeputies(holderAddress, deputies);
   }
 
-  /** This gateway has seen the limits of targets begin, change or end. */
+  /** Processes limits that this gateway saw begin, change or end. */
   void onSeen(List<TargetId> targets) {
-    takeEffect(targets);
-    exchange.tellConfidants(new LimitNews(false, quotas.reports(targets)));
+    applyLimits(targets);
+    exchange.tellHolderAndDeputies(new LimitNews(false, quotas.reports(targets)));
   }
 
-  /** Another process tells what it knows. */
-  void onNews(LimitNews news, Consumer<FleetMessage> sender) {
-    takeEffect(quotas.merge(news.reports()));
-    if (news.complete()) {
-      exchange.onComplete(news, sender);
+  /** Processes limits sent by another process. */
+  void onNews(LimitNews update, Consumer<FleetMessage> sender) {
+    applyLimits(quotas.merge(update.reports()));
+    if (update.complete()) {
+      exchange.onComplete(update, sender);
     }
   }
 
   @Override
-  public Optional<LimitNews> missingFrom(LimitNews told) {
+  public Optional<LimitNews> missingFrom(LimitNews received) {
     Map<TargetId, LimitReport> known = new HashMap<>();
-    told.reports().forEach(report -> known.put(report.target(), report));
-    List<LimitReport> lacking = new ArrayList<>();
-    for (LimitReport own : quotas.reports()) {
-      LimitReport other = known.get(own.target());
-      boolean same = other == null ? !own.isLimited() : other.perS() == own.perS();
+    received.reports().forEach(report -> known.put(report.target(), report));
+    List<LimitReport> missing = new ArrayList<>();
+    for (LimitReport local : quotas.reports()) {
+      LimitReport remote = known.get(local.target());
+      boolean same = remote == null ? !local.isLimited() : remote.perS() == local.perS();
       if (!same) {
-        lacking.add(own);
+        missing.add(local);
       }
     }
-    return lacking.isEmpty() ? Optional.empty() : Optional.of(new LimitNews(false, lacking));
+    return missing.isEmpty() ? Optional.empty() : Optional.of(new LimitNews(false, missing));
   }
 
-  private void takeEffect(List<TargetId> changed) {
+  private void applyLimits(List<TargetId> changed) {
     if (changed.isEmpty() || issuer.isEmpty()) {
       return;
     }
     issuer.get().setLimits(quotas.limits(), clock.nowMs());
-    audience.tellAll(new LimitNews(false, quotas.reports(changed)));
+    peers.tellAll(new LimitNews(false, quotas.reports(changed)));
   }
 
-  /** Another process says hello: which limits it knows, in short. */
+  /** Processes the digest of limits in the hello of another process. */
   void onHello(String sender, long digest, Consumer<FleetMessage> channel) {
-    if (issuer.isPresent() && (heardMs.size() < MOST_GATEWAYS || heardMs.containsKey(sender))) {
-      heardMs.put(sender, clock.nowMs());
+    if (issuer.isPresent()
+        && (lastHelloMs.size() < MAX_TRACKED_GATEWAYS || lastHelloMs.containsKey(sender))) {
+      lastHelloMs.put(sender, clock.nowMs());
     }
     exchange.onDigest(digest, channel);
   }
 
-  /** Returns which limits this process knows, in short; 0 if none. */
+  /** Returns a digest of the known limits; 0 if there is none. */
   @Override
   public long digest() {
     return quotas.digest();
@@ -134,7 +134,7 @@
     return new LimitNews(true, quotas.reports());
   }
 
-  /** This gateway has requests for a target with a limit. */
+  /** Requests quota for a target with a limit. */
   void ask(QuotaRequest request) {
     if (issuer.isPresent()) {
       onRequest(process, request, this::onOwnReply);
@@ -149,16 +149,16 @@
     }
   }
 
-  /** A gateway asks this one, the holder, how many requests it may send. */
+  /** Processes the quota request of a gateway, as the holder. */
   void onRequest(String gateway, QuotaRequest request, Consumer<FleetMessage> sender) {
     if (issuer.isEmpty()) {
       return;
     }
     LimitReport limit = request.limit();
-    takeEffect(quotas.merge(List.of(limit)));
-    QuotaIssuer giving = issuer.get();
-    giving.setShare(audience.followers() + 1, fleetSize());
-    giving
+    applyLimits(quotas.merge(List.of(limit)));
+    QuotaIssuer granting = issuer.get();
+    granting.setShare(peers.followers() + 1, fleetSize());
+    granting
         .ask(
             gateway,
             limit.target(),
@@ -173,8 +173,8 @@
 
   private int fleetSize() {
     long nowMs = clock.nowMs();
-    heardMs.values().removeIf(atMs -> nowMs - atMs > SILENT_MS);
-    int inherited = nowMs - gainedMs > SILENT_MS ? 0 : inheritedGateways;
-    return Math.max(inherited, heardMs.size() + 1);
+    lastHelloMs.values().removeIf(atMs -> nowMs - atMs > GATEWAY_EXPIRY_MS);
+    int initial = nowMs - gainedMs > GATEWAY_EXPIRY_MS ? 0 : initialGateways;
+    return Math.max(initial, lastHelloMs.size() + 1);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
@@ -18,12 +18,12 @@
  * Connects the {@link QuotaCoordinator} of this gateway with its traffic and the other gateways.
  * For the control thread.
  */
-final class QuotaLink extends PeerAudience implements QuotaCoordinator.Audience {
+final class QuotaLink extends PeerAudience implements QuotaCoordinator.Peers {
 
   private final RoutingState state;
   private final ControlThread control;
   private final TargetQuotas quotas;
-  private final QuotaCoordinator desk;
+  private final QuotaCoordinator coordinator;
 
   QuotaLink(
       String process,
@@ -37,48 +37,51 @@
     this.state = state;
     this.control = control;
     this.quotas = quotas;
-    this.desk = new QuotaCoordinator(process, quotas, this, clock);
+    this.coordinator = new QuotaCoordinator(process, quotas, this, clock);
   }
 
   void start() {
-    quotas.onLimit(targets -> control.execute(() -> desk.onSeen(targets)));
-    quotas.onAsk(request -> control.execute(() -> desk.ask(request)));
+    quotas.onLimit(targets -> control.execute(() -> coordinator.onSeen(targets)));
+    quotas.onAsk(request -> control.execute(() -> coordinator.ask(request)));
   }
 
-  /** This gateway holds the term now. */
+  /** Called when this gateway has acquired the term. */
   void onGained() {
-    desk.onGained(state.current().processes());
+    coordinator.onGained(state.current().processes());
   }
 
-  /** This gateway holds the term no longer. */
+  /** Called when this gateway no longer holds the term. */
   void onLost() {
-    desk.onLost();
+    coordinator.onLost();
   }
 
-  /** Returns what this gateway knows, in short, for its hellos. */
+  /** Returns the digest of known limits for the hellos of this gateway. */
   long digest() {
-    return desk.digest();
+    return coordinator.digest();
   }
 
   void onHello(PeerChannel sender, FleetHello hello) {
-    desk.onHello(hello.process(), hello.limitDigest(), sender::send);
+    coordinator.onHello(hello.process(), hello.limitDigest(), sender::send);
   }
 
-  /** Takes a message, if it is about limits. */
+  /** Processes a message if it concerns limits. */
   void onMessage(PeerChannel sender, PeerMessage message) {
     if (message instanceof QuotaRequest request) {
-      desk.onRequest(sender.peerAddress(), request, sender::send);
+      coordinator.onRequest(sender.peerAddress(), request, sender::send);
     } else if (message instanceof QuotaReply reply) {
       quotas.onReply(reply);
-    } else if (message instanceof LimitNews news) {
-      desk.onNews(news, sender::send);
+    } else if (message instanceof LimitNews update) {
+      coordinator.onNews(update, sender::send);
     }
   }
 
-  /** The holder, unless it is this gateway, its deputies and the number of gateways are these. */
+  /**
+   * Sets the addresses of the holder, empty if it is this gateway, and of its deputies, and the
+   * number of gateways.
+   */
   void onHolderAndDeputies(
       Optional<String> holderAddress, Collection<String> deputies, int gateways) {
-    desk.onHolderAndDeputies(holderAddress, deputies);
+    coordinator.onHolderAndDeputies(holderAddress, deputies);
     quotas.setGateways(gateways);
     quotas.forget(target -> state.current().target(target).isPresent());
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StateExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StateExchange.java
@@ -8,78 +8,78 @@
 import java.util.function.Consumer;
 
 /**
- * Lets all gateways know the same of one matter.
+ * Replicates one kind of state to all gateways.
  *
- * <p>Whoever sees something tells the holder of the term and its deputies, and the holder
- * everybody, so that losing any of them loses nothing. Each hello says in short what its sender
- * knows. Whoever notices that it knows something else tells all of it, and is told in return what
- * it lacks. For the control thread.
+ * <p>A gateway that observes a change sends it to the holder of the term and its deputies, and the
+ * holder sends it to all gateways, so that the loss of any of them loses no state. Each hello
+ * carries a digest of the state of its sender. A receiver with a different digest replies with its
+ * complete state and is sent the entries that it lacks. Confined to the control thread.
  *
- * @param <N> the message that tells of the matter
+ * @param <N> the message that carries the state
  */
 final class StateExchange<N extends FleetMessage> {
 
   /**
-   * What this process knows of the matter.
+   * The state of this process.
    *
-   * @param <N> the message that tells of it
+   * @param <N> the message that carries the state
    */
-  interface Knowledge<N> {
+  interface LocalState<N> {
 
-    /** Returns it in short, to compare it with that of another process. */
+    /** Returns a digest of the state, to compare it with that of another process. */
     long digest();
 
-    /** Returns all of it, marked as complete. */
+    /** Returns the complete state, marked as complete. */
     N complete();
 
-    /** Returns what a process lacks that has told all it knows; empty if nothing. */
-    Optional<N> missingFrom(N told);
+    /** Returns the entries missing from the complete state of another process; empty if none. */
+    Optional<N> missingFrom(N received);
   }
 
-  private final Knowledge<N> knowledge;
+  private final LocalState<N> localState;
   private final FleetAudience audience;
   private Optional<String> holder = Optional.empty();
-  private Set<String> confidants = Set.of();
+  private Set<String> holderAndDeputies = Set.of();
 
-  StateExchange(Knowledge<N> knowledge, FleetAudience audience) {
-    this.knowledge = knowledge;
+  StateExchange(LocalState<N> localState, FleetAudience audience) {
+    this.localState = localState;
     this.audience = audience;
   }
 
   /**
-   * Takes who the holder, unless it is this gateway, and its deputies are.
+   * Sets the addresses of the holder, empty if it is this gateway, and of its deputies.
    *
-   * @return those that were neither before; never null
+   * @return the addresses that were neither before; never null
    */
   Set<String> onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
     holder = holderAddress;
-    Set<String> now = new LinkedHashSet<>(deputies);
-    holderAddress.ifPresent(now::add);
-    Set<String> added = new LinkedHashSet<>(now);
-    added.removeAll(confidants);
-    confidants = now;
+    Set<String> current = new LinkedHashSet<>(deputies);
+    holderAddress.ifPresent(current::add);
+    Set<String> added = new LinkedHashSet<>(current);
+    added.removeAll(holderAndDeputies);
+    holderAndDeputies = current;
     return added;
   }
 
-  /** Tells the holder, unless it is this gateway, and its deputies. */
-  void tellConfidants(N news) {
-    confidants.forEach(address -> audience.tell(address, news));
+  /** Sends an update to the holder, unless it is this gateway, and to its deputies. */
+  void tellHolderAndDeputies(N update) {
+    holderAndDeputies.forEach(address -> audience.tell(address, update));
   }
 
-  /** Tells the holder, unless it is this gateway. */
+  /** Sends a message to the holder, unless it is this gateway. */
   void tellHolder(FleetMessage message) {
     holder.ifPresent(address -> audience.tell(address, message));
   }
 
-  /** Another process says hello, and in short what it knows. */
+  /** Processes the digest in the hello of another process. */
   void onDigest(long digest, Consumer<FleetMessage> sender) {
-    if (digest != knowledge.digest()) {
-      sender.accept(knowledge.complete());
+    if (digest != localState.digest()) {
+      sender.accept(localState.complete());
     }
   }
 
-  /** Another process has told all that it knows. */
-  void onComplete(N told, Consumer<FleetMessage> sender) {
-    knowledge.missingFrom(told).ifPresent(sender);
+  /** Processes the complete state of another process. */
+  void onComplete(N received, Consumer<FleetMessage> sender) {
+    localState.missingFrom(received).ifPresent(sender);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCircuitBreaker.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCircuitBreaker.java
@@ -12,48 +12,50 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Counts what this process asks of the store, and asks little of a store that turns it away.
+ * Counts the store calls of this process and limits them while the store refuses or fails calls.
  *
- * <p>A fleet asks a store that is away or refuses it as often as its widest part tries again. Each
- * gateway has several parts that want something of the store; here they share one breaker. Without
- * it 33 refused gateways made 1,400 calls a second.
+ * <p>Several components of each gateway retry their store calls independently, so a fleet can
+ * overload a store that is unavailable or refuses it. All components of a gateway share this
+ * circuit breaker. Without it 33 refused gateways made 1,400 calls per second.
  *
- * <p>Keeping and ending a lease are never held back: the first is the holder's only way to learn
- * that it still holds the term, the second frees the term for others.
+ * <p>Renewing and ending a lease are never rejected. Renewal is the only way for the holder to
+ * learn that it still holds the term, and ending a lease frees the term for other processes.
  *
  * @since 0.2
  */
 public final class StoreCircuitBreaker implements StoreCallGuard {
 
-  /** Pause after the first refusal, before it is shortened at random: a short one is over then. */
-  private static final long FIRST_PAUSE_MS = 200;
+  /**
+   * Backoff after the first refusal, before jitter shortens it. A short outage has ended by then.
+   */
+  private static final long INITIAL_BACKOFF_MS = 200;
 
   private final MillisClock clock;
   private final StoreCallMetrics metrics;
   private final CircuitBreaker breaker;
 
   /**
-   * Creates a guard that lets everything through until a call fails.
+   * Creates a circuit breaker that permits all calls until one fails.
    *
    * @param clock the time; not null
    * @param metrics counts calls; not null
-   * @param random spreads the trials of several gateways; not null
-   * @param longestPauseMs how long the store may be back before this process notices; milliseconds;
-   *     not null
+   * @param random jitter for the trial calls of several gateways; not null
+   * @param maxBackoffMs maximum backoff, which bounds the time until a recovered store is detected;
+   *     milliseconds; not null
    */
   public StoreCircuitBreaker(
       MillisClock clock,
       StoreCallMetrics metrics,
       RandomGenerator random,
-      LongSupplier longestPauseMs) {
+      LongSupplier maxBackoffMs) {
     this.clock = clock;
     this.metrics = metrics;
-    this.breaker = new CircuitBreaker(new Backoff(FIRST_PAUSE_MS, longestPauseMs, random));
+    this.breaker = new CircuitBreaker(new Backoff(INITIAL_BACKOFF_MS, maxBackoffMs, random));
   }
 
   @Override
   public OptionalLong begin(StoreCall call) {
-    if (isUrgent(call)) {
+    if (isExempt(call)) {
       return OptionalLong.of(0);
     }
     OptionalLong number = breaker.begin(clock.nowMs());
@@ -66,7 +68,7 @@
   @Override
   public void onEnded(StoreCall call, long number, StoreCallEnd end) {
     metrics.onEnded(call, end);
-    if (isUrgent(call)) {
+    if (isExempt(call)) {
       return;
     }
     switch (end) {
@@ -77,7 +79,7 @@
     }
   }
 
-  private static boolean isUrgent(StoreCall call) {
+  private static boolean isExempt(StoreCall call) {
     return call == StoreCall.LEASE_KEEP || call == StoreCall.LEASE_END;
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashCoordinatorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashCoordinatorTest.java
@@ -11,50 +11,50 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A request ends one target after the other, seen by another gateway each time, in fleets whose
- * holder and deputies get lost meanwhile. Virtual time; the network loses what is under way.
+ * A request crashes one target after another, each time through a different gateway, in fleets
+ * whose holder and deputies fail meanwhile. Time is virtual; messages of failed gateways are lost.
  */
 class CrashCoordinatorTest {
 
-  /** Everybody has to know so long after the third crash. */
-  private static final long KNOWN_WITHIN_MS = 3_000;
+  /** Time after the third crash within which all gateways must refuse the request. */
+  private static final long REFUSED_WITHIN_MS = 3_000;
 
   private static final RequestFingerprint CONTENT = new RequestFingerprint(42);
-  private static final RequestIdentity DEADLY = new RequestIdentity(CONTENT, CONTENT.by("a"));
+  private static final RequestIdentity CRASHING = new RequestIdentity(CONTENT, CONTENT.by("a"));
   private static final RequestFingerprint SHARED = new RequestFingerprint(43);
   private static final RequestIdentity HARMLESS = new RequestIdentity(SHARED, SHARED.by("a"));
 
   private int targets;
 
   @Test
-  void threeGatewaysThatSawOneCrashEachRefuseItTogether() {
+  void requestIsRefusedAfterOneCrashAtEachOfThreeGateways() {
     CrashFleet fleet = new CrashFleet(5, new Random(1));
     for (int i = 0; i < 3; i++) {
-      crash(fleet, i, DEADLY);
+      crash(fleet, i, CRASHING);
       fleet.run(1_000);
     }
-    assertThat(fleet.refusing(DEADLY)).isEqualTo(5);
+    assertThat(fleet.refusing(CRASHING)).isEqualTo(5);
     assertThat(fleet.refusing(HARMLESS)).isEqualTo(0);
   }
 
   @Test
-  void everyGatewayOfWideFleetRefusesItInTime() {
+  void everyGatewayOfLargeFleetRefusesItInTime() {
     CrashFleet fleet = new CrashFleet(95, new Random(2));
     for (int i = 0; i < 3; i++) {
-      crash(fleet, 20 + 20 * i, DEADLY);
-      fleet.run(i < 2 ? 1_000 : KNOWN_WITHIN_MS);
+      crash(fleet, 20 + 20 * i, CRASHING);
+      fleet.run(i < 2 ? 1_000 : REFUSED_WITHIN_MS);
     }
-    assertThat(fleet.refusing(DEADLY)).isEqualTo(95);
+    assertThat(fleet.refusing(CRASHING)).isEqualTo(95);
   }
 
-  /** The second one dies with the holder and with half of the deputies; nobody has told anybody. */
+  /** Holders and deputies may fail just after each crash, before they have informed others. */
   @Test
-  void nothingIsForgottenWithTheHolderAndItsDeputies() {
+  void crashesSurviveLossOfHolderAndDeputies() {
     for (long seed = 0; seed < 60; seed++) {
       Random random = new Random(seed);
       CrashFleet fleet = new CrashFleet(3 + random.nextInt(60), random);
       for (int crash = 0; crash < 3; crash++) {
-        crash(fleet, fleet.anyLiving(), DEADLY);
+        crash(fleet, fleet.randomLive(), CRASHING);
         fleet.run(random.nextInt(300));
         if (random.nextBoolean()) {
           fleet.loseHolder();
@@ -64,20 +64,20 @@
         }
         fleet.run(3_500);
       }
-      assertThat(fleet.refusing(DEADLY)).isEqualTo(fleet.living());
+      assertThat(fleet.refusing(CRASHING)).isEqualTo(fleet.live());
     }
   }
 
-  /** Copies come in bursts at all gateways; one at a time may show whether it is to blame. */
+  /** Copies arrive in bursts at all gateways; only one at a time may be sent as a trial. */
   @Test
-  void trialsOfWatchedRequestsAreGivenOneByOne() {
+  void trialsOfWatchedRequestsAreGrantedOneAtATime() {
     CrashFleet fleet = new CrashFleet(20, new Random(8));
-    crash(fleet, 1, DEADLY);
+    crash(fleet, 1, CRASHING);
     fleet.run(1_000);
-    crash(fleet, 2, DEADLY);
+    crash(fleet, 2, CRASHING);
     fleet.run(1_000);
     for (int i = 0; i < 30; i++) {
-      fleet.wantTrials(CONTENT);
+      fleet.requestTrials(CONTENT);
       fleet.run(100);
     }
     assertThat(fleet.permits()).isAtLeast(1);
@@ -85,33 +85,33 @@
   }
 
   @Test
-  void theNextHolderTellsGatewaysThatHaveJustStarted() {
+  void nextHolderInformsStartedGateways() {
     CrashFleet fleet = new CrashFleet(20, new Random(3));
     for (int i = 0; i < 3; i++) {
-      crash(fleet, i + 10, DEADLY);
+      crash(fleet, i + 10, CRASHING);
       fleet.run(1_000);
     }
     fleet.loseHolder();
     fleet.restart(15);
-    fleet.run(KNOWN_WITHIN_MS);
-    assertThat(fleet.refusing(DEADLY)).isEqualTo(fleet.living());
+    fleet.run(REFUSED_WITHIN_MS);
+    assertThat(fleet.refusing(CRASHING)).isEqualTo(fleet.live());
   }
 
   @Test
-  void theFleetThatWasLostWholeKnowsIt() {
+  void quarantineSurvivesLossOfTheWholeFleet() {
     CrashFleet fleet = new CrashFleet(20, new Random(6));
     for (int i = 0; i < 3; i++) {
-      crash(fleet, i, DEADLY);
+      crash(fleet, i, CRASHING);
       fleet.run(1_000);
     }
     fleet.loseAll();
-    fleet.run(KNOWN_WITHIN_MS);
-    assertThat(fleet.refusing(DEADLY)).isEqualTo(20);
+    fleet.run(REFUSED_WITHIN_MS);
+    assertThat(fleet.refusing(CRASHING)).isEqualTo(20);
   }
 
-  /** Many callers ask for it, so it is there whenever a target ends; it is answered in between. */
+  /** A frequent request is running whenever a target crashes, but it is answered in between. */
   @Test
-  void whatIsAnsweredMeanwhileIsServedEverywhere() {
+  void requestThatIsAnsweredMeanwhileIsServedEverywhere() {
     CrashFleet fleet = new CrashFleet(20, new Random(4));
     for (int i = 0; i < 10; i++) {
       crash(fleet, i, HARMLESS);
@@ -122,9 +122,9 @@
     }
   }
 
-  /** The answers came before anybody had heard of the crashes. */
+  /** The responses arrived before any gateway was informed of the crashes. */
   @Test
-  void answersFromBeforeTheNewsCount() {
+  void responsesBeforeTheUpdateCount() {
     CrashFleet fleet = new CrashFleet(20, new Random(5));
     for (int i = 0; i < 3; i++) {
       crash(fleet, i, HARMLESS);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
@@ -17,19 +17,19 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-/** Gateways that tell one another of crashes, on virtual time: a holder, deputies, and the rest. */
+/** Simulates gateways that exchange crashes: a holder, deputies and followers; virtual time. */
 final class CrashFleet {
 
   private static final int DEPUTIES = 8;
   private static final long HELLO_MS = 300;
-  private static final int LONGEST_WAY_MS = 20;
+  private static final int MAX_LATENCY_MS = 20;
 
-  /** Until a lost holder is replaced and everybody follows the next one. */
+  /** Time until a lost holder is replaced and all gateways follow the next one. */
   private static final long VACANT_MS = 2_000;
 
   private final Random random;
   private final List<Member> members = new ArrayList<>();
-  private final PriorityQueue<Delivery> underWay = new PriorityQueue<>();
+  private final PriorityQueue<Delivery> inFlight = new PriorityQueue<>();
   private List<Integer> deputies = List.of();
   private Optional<CrashNews> stored = Optional.empty();
   private int holder;
@@ -54,42 +54,42 @@
 
   void crash(int gateway, List<BrokenAttempt> attempts) {
     nowMs++;
-    members.get(gateway).desk.onCrashed(attempts);
+    members.get(gateway).coordinator.onCrashed(attempts);
   }
 
-  /** A target answers a request of a gateway. */
+  /** Simulates the response of a target to a request of a gateway. */
   void answer(int gateway, RequestIdentity identity) {
     nowMs++;
     members.get(gateway).quarantine.onAnswer(identity);
   }
 
-  int anyLiving() {
-    List<Integer> living = members.stream().filter(m -> m.alive).map(m -> m.index).toList();
-    return living.get(random.nextInt(living.size()));
+  int randomLive() {
+    List<Integer> live = members.stream().filter(m -> m.alive).map(m -> m.index).toList();
+    return live.get(random.nextInt(live.size()));
   }
 
-  int living() {
+  int live() {
     return (int) members.stream().filter(member -> member.alive).count();
   }
 
-  /** Returns how many living gateways send a request to no target. */
+  /** Returns how many live gateways refuse a request. */
   int refusing(RequestIdentity identity) {
     return (int)
         members.stream().filter(m -> m.alive && m.quarantine.refusedForMs(identity) > 0).count();
   }
 
   void loseHolder() {
-    if (living() < 3) {
+    if (live() < 3) {
       return;
     }
     members.get(holder).alive = false;
-    holder = anyLiving();
+    holder = randomLive();
     holderSinceMs = nowMs + VACANT_MS;
   }
 
   void loseDeputy() {
     List<Integer> left = deputies.stream().filter(i -> members.get(i).alive).toList();
-    if (living() > 3 && !left.isEmpty()) {
+    if (live() > 3 && !left.isEmpty()) {
       int lost = left.get(random.nextInt(left.size()));
       if (lost != holder) {
         members.get(lost).alive = false;
@@ -97,30 +97,30 @@
     }
   }
 
-  /** A gateway starts again and knows nothing. */
+  /** Restarts a gateway without state. */
   void restart(int gateway) {
     members.set(gateway, new Member(gateway));
   }
 
-  /** All gateways end at one moment and start again; the first to hold the term reads the store. */
+  /** Restarts all gateways at once; the next holder of the term reads the store. */
   void loseAll() {
-    underWay.clear();
+    inFlight.clear();
     members.replaceAll(member -> new Member(member.index));
     holder = random.nextInt(members.size());
     holderSinceMs = nowMs;
-    stored.ifPresent(members.get(holder).desk::onStored);
+    stored.ifPresent(members.get(holder).coordinator::onStored);
   }
 
   void run(long forMs) {
     long untilMs = nowMs + forMs;
     while (nowMs < untilMs) {
       nowMs++;
-      while (!underWay.isEmpty() && underWay.peek().atMs <= nowMs) {
-        deliver(underWay.poll());
+      while (!inFlight.isEmpty() && inFlight.peek().atMs <= nowMs) {
+        deliver(inFlight.poll());
       }
       if (nowMs >= nextHelloMs) {
         nextHelloMs = nowMs + HELLO_MS;
-        sayHello();
+        sendHellos();
       }
     }
   }
@@ -129,8 +129,8 @@
     return nowMs < holderSinceMs;
   }
 
-  /** The holder answers; while there is none two deputies do. */
-  private void sayHello() {
+  /** Sends hellos to the holder, or to two deputies while there is no holder. */
+  private void sendHellos() {
     if (!isVacant()) {
       chooseDeputies();
     }
@@ -140,18 +140,18 @@
       }
       member.follow();
       if (!isVacant() && member.index != holder) {
-        ask(member, holder);
+        sendHello(member, holder);
       } else if (isVacant()) {
-        deputies.stream().limit(2).forEach(deputy -> ask(member, deputy));
+        deputies.stream().limit(2).forEach(deputy -> sendHello(member, deputy));
       }
     }
   }
 
-  private void ask(Member asking, int asked) {
-    Member other = members.get(asked);
-    if (other.alive && other != asking) {
-      long digest = asking.desk.digest();
-      other.desk.onDigest(digest, message -> send(other, asking.index, message));
+  private void sendHello(Member sender, int receiverIndex) {
+    Member other = members.get(receiverIndex);
+    if (other.alive && other != sender) {
+      long digest = sender.coordinator.digest();
+      other.coordinator.onDigest(digest, message -> send(other, sender.index, message));
     }
   }
 
@@ -167,8 +167,8 @@
 
   private void send(Member from, int to, FleetMessage message) {
     if (from.alive) {
-      long atMs = nowMs + 1 + random.nextInt(LONGEST_WAY_MS);
-      underWay.add(new Delivery(atMs, sent++, from.index, to, message));
+      long atMs = nowMs + 1 + random.nextInt(MAX_LATENCY_MS);
+      inFlight.add(new Delivery(atMs, sent++, from.index, to, message));
     }
   }
 
@@ -179,22 +179,22 @@
       return;
     }
     if (delivery.message instanceof CrashNews news) {
-      to.desk.onNews(news, answer -> send(to, from.index, answer));
+      to.coordinator.onNews(news, answer -> send(to, from.index, answer));
     } else if (delivery.message instanceof TrialRequest request) {
-      to.desk.onTrialRequest(request.fingerprint(), answer -> send(to, from.index, answer));
+      to.coordinator.onTrialRequest(request.fingerprint(), answer -> send(to, from.index, answer));
     } else if (delivery.message instanceof TrialPermit) {
       permits++;
     }
   }
 
-  /** Every gateway but the holder has a copy of a request that is watched. */
-  void wantTrials(RequestFingerprint fingerprint) {
+  /** Makes every gateway except the holder request a trial of a watched request. */
+  void requestTrials(RequestFingerprint fingerprint) {
     members.stream()
         .filter(member -> member.alive && member.index != holder)
-        .forEach(member -> member.desk.onTrialWanted(fingerprint));
+        .forEach(member -> member.coordinator.onTrialWanted(fingerprint));
   }
 
-  /** Returns how often a gateway was permitted a trial. */
+  /** Returns the number of granted trial permits. */
   int permits() {
     return permits;
   }
@@ -209,35 +209,35 @@
   }
 
   /** One gateway. */
-  private final class Member implements CrashCoordinator.Audience {
+  private final class Member implements CrashCoordinator.Peers {
 
     private final int index;
     private final MillisClock clock = () -> nowMs;
     private final RequestQuarantine quarantine = new RequestQuarantine(clock);
-    private final CrashCoordinator desk;
+    private final CrashCoordinator coordinator;
     private boolean alive = true;
 
     Member(int index) {
       this.index = index;
       DecisionLog log = new DecisionLog(clock, 1, line -> {});
-      this.desk = new CrashCoordinator(new CrashLedger(0), quarantine, this, clock, log);
+      this.coordinator = new CrashCoordinator(new CrashLedger(0), quarantine, this, clock, log);
       quarantine.onAnswered(this::onAnswered);
     }
 
     private void onAnswered(RequestFingerprint fingerprint) {
-      desk.onAnswered(fingerprint);
+      coordinator.onAnswered(fingerprint);
     }
 
-    /** Hears from the holder who it is and who its deputies are. */
+    /** Sets the current holder and deputies. */
     private void follow() {
       if (isVacant()) {
         return;
       }
-      List<String> named =
+      List<String> deputyAddresses =
           deputies.stream().filter(i -> i != index).map(i -> Integer.toString(i)).toList();
-      Optional<String> followed =
+      Optional<String> holderAddress =
           index == holder ? Optional.empty() : Optional.of(Integer.toString(holder));
-      desk.onHolderAndDeputies(followed, named);
+      coordinator.onHolderAndDeputies(holderAddress, deputyAddresses);
     }
 
     @Override
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CursorStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CursorStore.java
@@ -13,20 +13,21 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One key, on virtual time, as the platform's adapter gives it: a wait goes on from where the
- * newest one ended, not from the revision that its caller names; waits end; answers take a while.
+ * A store with one key on virtual time that behaves as the adapter of the platform. A watch
+ * continues from the end of the newest watch, not from the revision given by its caller. Watches
+ * have a limited wait, and responses are delayed.
  */
 final class CursorStore implements KeyValueStore {
 
   private final VirtualClock clock;
   private Optional<StoreValue> value = Optional.empty();
   private long revision = 1;
-  private long knownUpTo;
-  private long newestWait;
+  private long cursor;
+  private long newestWatch;
   private long answerMs;
   private int calls;
   private int silentCalls;
-  private int underWay;
+  private int pending;
   private int mostUnderWay;
   private int refusedWrites;
 
@@ -48,7 +49,7 @@
     answerMs = ms;
   }
 
-  /** The next calls go out on connections that carry nothing any more. */
+  /** Makes the next calls get no response, as on connections that stopped without an error. */
   void silenceNextCalls(int count) {
     silentCalls = count;
   }
@@ -68,15 +69,15 @@
   @Override
   public CompletableFuture<WatchResult> watch(String key, long afterRevision, long waitMs) {
     calls++;
-    underWay++;
-    mostUnderWay = Math.max(mostUnderWay, underWay);
+    pending++;
+    mostUnderWay = Math.max(mostUnderWay, pending);
     CompletableFuture<WatchResult> answer = new CompletableFuture<>();
-    final long number = ++newestWait;
+    final long number = ++newestWatch;
     if (silentCalls > 0) {
       silentCalls--;
       return answer;
     }
-    final long from = knownUpTo;
+    final long from = cursor;
     poll(number, from, clock.nowMs() + waitMs, answer);
     return answer;
   }
@@ -97,12 +98,12 @@
       long seen,
       Optional<StoreValue> now,
       CompletableFuture<WatchResult> answer) {
-    underWay--;
-    if (number != newestWait) {
+    pending--;
+    if (number != newestWatch) {
       answer.complete(new WatchResult(WatchResult.Event.UNAVAILABLE, Optional.empty()));
       return;
     }
-    knownUpTo = seen;
+    cursor = seen;
     if (seen == from) {
       answer.complete(new WatchResult(WatchResult.Event.UNCHANGED, Optional.empty()));
     } else {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureCoordinatorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureCoordinatorTest.java
@@ -16,14 +16,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Fleets in which one gateway hears that a target leaves, and others are lost meanwhile. */
+/** Fleets in which one gateway learns that a target is leaving while other gateways fail. */
 class DepartureCoordinatorTest {
 
   private static final TargetId TARGET = new TargetId("core-0");
   private static final int DEPUTIES = 2;
 
   private final List<Member> members = new ArrayList<>();
-  private final Queue<Runnable> underWay = new ArrayDeque<>();
+  private final Queue<Runnable> inFlight = new ArrayDeque<>();
   private int holder;
   private long nowMs;
   private int sent;
@@ -32,49 +32,49 @@
     for (int i = 0; i < gateways; i++) {
       members.add(new Member(i));
     }
-    sayHello();
+    sendHellos();
   }
 
   @Test
-  void everyGatewayLearnsOfItFromTheFirst() {
+  void departureReachesAllGateways() {
     start(10);
-    members.get(7).desk.onSeen(TARGET);
+    members.get(7).coordinator.onSeen(TARGET);
     deliver();
-    assertThat(knowing()).isEqualTo(10);
+    assertThat(informed()).isEqualTo(10);
   }
 
   @Test
-  void theHolderTellsWhatItHearsItself() {
+  void departureSeenByHolderReachesAllGateways() {
     start(10);
-    members.get(0).desk.onSeen(TARGET);
+    members.get(0).coordinator.onSeen(TARGET);
     deliver();
-    assertThat(knowing()).isEqualTo(10);
+    assertThat(informed()).isEqualTo(10);
   }
 
   @Test
-  void whoKnowsTheSameIsToldNothing() {
+  void equalStateSendsNoMessages() {
     start(10);
-    members.get(7).desk.onSeen(TARGET);
+    members.get(7).coordinator.onSeen(TARGET);
     deliver();
-    sayHello();
+    sendHellos();
     final int before = sent;
-    sayHello();
+    sendHellos();
     assertThat(sent).isEqualTo(before);
   }
 
-  /** Whoever is lost at the moment of the news, one hello to the next holder is enough. */
+  /** Any gateways may fail during the update; one hello to the next holder restores it. */
   @Test
-  void itSurvivesTheLossOfHoldersAndDeputies() {
+  void departureSurvivesLossOfHoldersAndDeputies() {
     for (int seed = 0; seed < 200; seed++) {
       final SplittableRandom random = new SplittableRandom(seed);
       members.clear();
-      underWay.clear();
+      inFlight.clear();
       holder = 0;
       start(4 + random.nextInt(20));
       int first = DEPUTIES + 1 + random.nextInt(members.size() - DEPUTIES - 1);
-      members.get(first).desk.onSeen(TARGET);
+      members.get(first).coordinator.onSeen(TARGET);
       if (random.nextBoolean()) {
-        underWay.clear();
+        inFlight.clear();
       } else {
         deliver();
       }
@@ -82,28 +82,28 @@
         members.set(lost, new Member(lost));
       }
       holder = 1 + random.nextInt(members.size() - 1);
-      sayHello();
-      sayHello();
-      assertThat(knowing()).isEqualTo(members.size());
+      sendHellos();
+      sendHellos();
+      assertThat(informed()).isEqualTo(members.size());
     }
   }
 
   @Test
-  void runsThatAreLongGoneAreForgottenByAll() {
+  void departuresOfRemovedTargetsExpireEverywhere() {
     start(5);
-    members.get(3).desk.onSeen(TARGET);
+    members.get(3).coordinator.onSeen(TARGET);
     deliver();
     nowMs = 100_000;
-    members.forEach(member -> member.desk.forget(id -> false));
-    sayHello();
-    assertThat(knowing()).isEqualTo(0);
+    members.forEach(member -> member.coordinator.forget(id -> false));
+    sendHellos();
+    assertThat(informed()).isEqualTo(0);
   }
 
-  private long knowing() {
+  private long informed() {
     return members.stream().filter(member -> member.leaving.contains(TARGET)).count();
   }
 
-  private void sayHello() {
+  private void sendHellos() {
     for (Member member : members) {
       List<String> deputies = new ArrayList<>();
       for (int i = 1; i <= DEPUTIES; i++) {
@@ -113,19 +113,20 @@
         }
       }
       boolean holds = member.index == holder;
-      member.desk.onHolderAndDeputies(
+      member.coordinator.onHolderAndDeputies(
           holds ? Optional.empty() : Optional.of(Integer.toString(holder)), deputies);
       if (!holds) {
-        Member holding = members.get(holder);
-        holding.desk.onDigest(member.desk.digest(), news -> holding.tell(member.index, news));
+        Member holderMember = members.get(holder);
+        holderMember.coordinator.onDigest(
+            member.coordinator.digest(), update -> holderMember.tell(member.index, update));
       }
     }
     deliver();
   }
 
   private void deliver() {
-    while (!underWay.isEmpty()) {
-      underWay.poll().run();
+    while (!inFlight.isEmpty()) {
+      inFlight.poll().run();
     }
   }
 
@@ -134,7 +135,7 @@
 
     private final int index;
     private Set<TargetId> leaving = new HashSet<>();
-    private final DepartureCoordinator desk =
+    private final DepartureCoordinator coordinator =
         new DepartureCoordinator(
             this,
             () -> nowMs,
@@ -159,11 +160,11 @@
 
     private void tell(int to, FleetMessage message) {
       sent++;
-      underWay.add(
+      inFlight.add(
           () ->
               members
                   .get(to)
-                  .desk
+                  .coordinator
                   .onNews((DepartureNews) message, answer -> members.get(to).tell(index, answer)));
     }
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DeputiesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DeputiesTest.java
@@ -12,13 +12,13 @@
   private final Deputies deputies = new Deputies("own");
 
   @Test
-  void whoKnowsOfNoDeputyFollowsTheStoreItself() {
+  void gatewayWithoutKnownDeputiesFollowsTheStore() {
     assertThat(deputies.mustFollowStore()).isTrue();
     assertThat(deputies.next()).isEmpty();
   }
 
   @Test
-  void deputiesFollowTheStoreAndOthersDoNot() {
+  void onlyDeputiesFollowTheStore() {
     deputies.onNamed(List.of("a", "b"));
     assertThat(deputies.mustFollowStore()).isFalse();
     deputies.onNamed(List.of("a", "own"));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void allAreAskedInTurnButNeverOneself() {
+  void otherDeputiesAreAskedInRotation() {
     deputies.onNamed(List.of("a", "own", "b", "c"));
     Set<String> asked = new HashSet<>();
     for (int turn = 0; turn < 3; turn++) {
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void theOnlyOtherOneIsAskedOnce() {
+  void singleOtherDeputyIsReturnedOnce() {
     deputies.onNamed(List.of("own", "a"));
     assertThat(deputies.next()).containsExactly("a");
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/GuardedStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/GuardedStore.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 
-/** A store that never changes and turns calls away while told so; each call asks a guard first. */
+/** A store that never changes and can refuse calls. Each call passes a guard first. */
 final class GuardedStore extends ReadOnlyStore {
 
   private final VirtualClock clock;
@@ -28,7 +28,7 @@
     this.refusing = refusing;
   }
 
-  /** Makes a call unless the guard holds it back. Tells whether it was answered. */
+  /** Makes a call unless the guard rejects it. The result is whether the call was answered. */
   CompletableFuture<Boolean> call(StoreCall call) {
     return call(call, 0);
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/MemoryStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/MemoryStore.java
@@ -13,16 +13,16 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A store in memory that answers at once. Leases and watches are not supported. */
+/** An in-memory store that responds immediately. Leases and watches are not supported. */
 final class MemoryStore implements KeyValueStore {
 
   private final Map<String, StoreValue> values = new HashMap<>();
   private long revision;
-  private boolean losesNextAnswer;
+  private boolean losesNextResponse;
 
-  /** Carries the next write out and reports that no answer came. */
+  /** Makes the next write succeed but report an unknown outcome. */
   synchronized void loseNextAnswer() {
-    losesNextAnswer = true;
+    losesNextResponse = true;
   }
 
   @Override
@@ -41,8 +41,8 @@
     }
     revision++;
     values.put(key, new StoreValue(value, revision));
-    StoreOutcome outcome = losesNextAnswer ? StoreOutcome.UNKNOWN : StoreOutcome.DONE;
-    losesNextAnswer = false;
+    StoreOutcome outcome = losesNextResponse ? StoreOutcome.UNKNOWN : StoreOutcome.DONE;
+    losesNextResponse = false;
     return CompletableFuture.completedFuture(new WriteResult(outcome, revision));
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuarantineStoreTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuarantineStoreTest.java
@@ -25,8 +25,8 @@
   private final ControlThread control = new ControlThread("test", FailureHandler.logging());
   private final DecisionLog log = new DecisionLog(() -> 0, 100, line -> {});
   private final List<CrashNews> read = new ArrayList<>();
-  private final QuarantineStore first = archive(news -> {});
-  private final QuarantineStore second = archive(read::add);
+  private final QuarantineStore first = quarantineStore(news -> {});
+  private final QuarantineStore second = quarantineStore(read::add);
 
   @AfterEach
   void tearDown() {
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void theNextHolderReadsWhatTheLastOneKept() {
+  void nextHolderReadsStoredQuarantine() {
     run(first::open);
     run(() -> first.keep(news(1)));
     run(() -> first.keep(news(2)));
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void whoeverHoldsNoTermWritesNothing() {
+  void gatewayWithoutTermWritesNothing() {
     run(() -> first.keep(news(1)));
     run(first::open);
     run(first::close);
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void whatAnotherHolderWroteIsReadBeforeItIsReplaced() {
+  void valueOfAnotherHolderIsReadBeforeItIsReplaced() {
     run(first::open);
     run(second::open);
     run(() -> first.keep(news(1)));
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void theWriteWithoutAnAnswerIsLookedUp() {
+  void writeWithoutResponseIsReadBack() {
     run(second::open);
     memory.loseNextAnswer();
     run(() -> second.keep(news(1)));
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void whatCannotBeReadIsReplaced() {
+  void unreadableValueIsReplaced() {
     memory.write(QuarantineStore.KEY, new byte[] {1, 2}, KeyValueStore.ABSENT, Optional.empty());
     run(second::open);
     run(() -> second.keep(news(3)));
@@ -82,7 +82,7 @@
     assertThat(read).containsExactly(news(3));
   }
 
-  private QuarantineStore archive(Consumer<CrashNews> onRead) {
+  private QuarantineStore quarantineStore(Consumer<CrashNews> onRead) {
     return new QuarantineStore(memory, control, log, new RecordCodec(), onRead);
   }
 
@@ -98,7 +98,7 @@
                 CrashReport.NOT_ANSWERED)));
   }
 
-  /** Runs a task on the control thread and all that follows from it. */
+  /** Runs a task and its follow-up tasks on the control thread. */
   private void run(Runnable task) {
     control.execute(task);
     for (int i = 0; i < 10; i++) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaCoordinatorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaCoordinatorTest.java
@@ -8,47 +8,49 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against gateways that together exceed the limit of a target, or waste it. */
+/** Guards against gateways that together exceed the limit of a target or underuse it. */
 class QuotaCoordinatorTest {
 
-  /** The whole fleet knows of a limit after this time. */
+  /** Time after which the whole fleet knows a limit. */
   private static final long KNOWN_MS = 3_000;
 
   private static final int SEEDS = 12;
 
-  /** Nearly all callers reach one gateway, or all the same, or some. */
+  /** Varies how evenly callers are distributed over the gateways. */
   @ParameterizedTest
   @CsvSource({"0.4, 8", "2, 8", "2, 30", "2, 95", "20, 8", "20, 30", "120, 8"})
-  void theLimitIsKeptAndUsedHoweverCallersAreSpread(double perS, int size) {
+  void limitIsKeptAndUsedForAnyDistributionOfCallers(double perS, int size) {
     for (int seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
       QuotaFleet fleet = limitedFleet(perS, size, random);
       long sinceMs = fleet.nowMs();
-      int before = fleet.sent(QuotaFleet.URGENT) + fleet.sent(QuotaFleet.LATER);
+      int before = fleet.sent(QuotaFleet.URGENT) + fleet.sent(QuotaFleet.DEFERRABLE);
       drive(fleet, 4 * perS, size, random, 40_000, () -> {});
-      int sent = fleet.sent(QuotaFleet.URGENT) + fleet.sent(QuotaFleet.LATER) - before;
+      int sent = fleet.sent(QuotaFleet.URGENT) + fleet.sent(QuotaFleet.DEFERRABLE) - before;
       String where = "seed " + seed;
       assertWithMessage(where).that(fleet.informed()).isEqualTo(size);
-      assertWithMessage(where).that((double) fleet.mostIn4s(sinceMs)).isAtMost(allowed(perS));
+      assertWithMessage(where)
+          .that((double) fleet.maxRequestsIn4s(sinceMs))
+          .isAtMost(allowed(perS));
       assertWithMessage(where).that((double) sent).isAtLeast(0.85 * perS * 40 - 2);
     }
   }
 
   @ParameterizedTest
   @CsvSource({"0.4, 8", "2, 8", "2, 95", "20, 8", "20, 30"})
-  void theLimitIsKeptWhileHoldersEndAndGatewaysAreCutOff(double perS, int size) {
+  void limitIsKeptWhileHoldersFailAndGatewaysAreCutOff(double perS, int size) {
     for (int seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
       QuotaFleet fleet = limitedFleet(perS, size, random);
       long sinceMs = fleet.nowMs();
-      drive(fleet, 4 * perS, size, random, 60_000, () -> disturb(fleet, size, random));
+      drive(fleet, 4 * perS, size, random, 60_000, () -> injectFault(fleet, size, random));
       assertWithMessage("seed " + seed)
-          .that((double) fleet.mostIn4s(sinceMs))
+          .that((double) fleet.maxRequestsIn4s(sinceMs))
           .isAtMost(allowed(perS));
     }
   }
 
-  /** A request may find nothing just after others; 9 of 10 are served at half of the limit. */
+  /** At half of the limit 9 of 10 requests are served; one just after others may be refused. */
   @Test
   void requestsWithinTheLimitAreServed() {
     Random random = new Random(3);
@@ -66,29 +68,29 @@
     Random random = new Random(4);
     QuotaFleet fleet = limitedFleet(4, 8, random);
     final int urgentBefore = fleet.sent(QuotaFleet.URGENT);
-    final int laterBefore = fleet.sent(QuotaFleet.LATER);
+    final int deferrableBefore = fleet.sent(QuotaFleet.DEFERRABLE);
     for (int i = 0; i < 400; i++) {
-      fleet.request(random.nextInt(8), i % 4 == 0 ? QuotaFleet.URGENT : QuotaFleet.LATER);
+      fleet.request(random.nextInt(8), i % 4 == 0 ? QuotaFleet.URGENT : QuotaFleet.DEFERRABLE);
       fleet.run(100);
     }
     int urgent = fleet.sent(QuotaFleet.URGENT) - urgentBefore;
-    int later = fleet.sent(QuotaFleet.LATER) - laterBefore;
+    int deferrable = fleet.sent(QuotaFleet.DEFERRABLE) - deferrableBefore;
     assertThat(urgent).isAtLeast(90);
-    assertThat(later).isAtLeast(30);
+    assertThat(deferrable).isAtLeast(30);
   }
 
   @Test
-  void endedLimitsAreKnownToAll() {
+  void endOfLimitReachesAllGateways() {
     Random random = new Random(5);
     QuotaFleet fleet = limitedFleet(2, 20, random);
-    fleet.nameLimit(null);
+    fleet.announceLimit(null);
     drive(fleet, 4, 20, random, KNOWN_MS, () -> {});
     assertThat(fleet.informed()).isEqualTo(0);
   }
 
-  /** It has seen nothing of the limit itself, and hears of it before it sends much. */
+  /** A started gateway learns the limit from others before it sends many requests. */
   @Test
-  void startingGatewaysHearOfTheLimit() {
+  void startedGatewayLearnsTheLimit() {
     QuotaFleet fleet = limitedFleet(2, 20, new Random(6));
     int other = (fleet.holder() + 7) % 20;
     fleet.restart(other);
@@ -98,7 +100,7 @@
   }
 
   @Test
-  void theLimitOutlivesTheHolderAndWhoeverSawIt() {
+  void limitSurvivesLossOfHoldersAndOfTheFirstObserver() {
     Random random = new Random(7);
     QuotaFleet fleet = limitedFleet(2, 20, random);
     for (int i = 0; i < 5; i++) {
@@ -110,30 +112,30 @@
 
   private static QuotaFleet limitedFleet(double perS, int size, Random random) {
     QuotaFleet fleet = new QuotaFleet(size, random);
-    fleet.nameLimit(Double.toString(perS));
+    fleet.announceLimit(Double.toString(perS));
     fleet.request(random.nextInt(size), QuotaFleet.URGENT);
     fleet.run(KNOWN_MS);
     return fleet;
   }
 
   private static void drive(
-      QuotaFleet fleet, double perS, int size, Random random, long forMs, Runnable disturb) {
-    int favourite = random.nextInt(size);
-    double favourShare = random.nextInt(3) / 2.2;
+      QuotaFleet fleet, double perS, int size, Random random, long forMs, Runnable injectFault) {
+    int preferredGateway = random.nextInt(size);
+    double preferredShare = random.nextInt(3) / 2.2;
     long untilMs = fleet.nowMs() + forMs;
-    long disturbMs = fleet.nowMs();
+    long nextFaultMs = fleet.nowMs();
     while (fleet.nowMs() < untilMs) {
-      int gateway = random.nextDouble() < favourShare ? favourite : random.nextInt(size);
-      fleet.request(gateway, random.nextInt(3) == 0 ? QuotaFleet.URGENT : QuotaFleet.LATER);
+      int gateway = random.nextDouble() < preferredShare ? preferredGateway : random.nextInt(size);
+      fleet.request(gateway, random.nextInt(3) == 0 ? QuotaFleet.URGENT : QuotaFleet.DEFERRABLE);
       fleet.run(1 + (long) (-Math.log(1 - random.nextDouble()) * 1_000 / perS));
-      if (fleet.nowMs() >= disturbMs) {
-        disturbMs = fleet.nowMs() + 2_500 + random.nextInt(6_000);
-        disturb.run();
+      if (fleet.nowMs() >= nextFaultMs) {
+        nextFaultMs = fleet.nowMs() + 2_500 + random.nextInt(6_000);
+        injectFault.run();
       }
     }
   }
 
-  private static void disturb(QuotaFleet fleet, int size, Random random) {
+  private static void injectFault(QuotaFleet fleet, int size, Random random) {
     int gateway = random.nextInt(size);
     switch (random.nextInt(4)) {
       case 0 -> fleet.loseHolder();
@@ -143,7 +145,7 @@
     }
   }
 
-  /** One and a half times what the limit allows in 4 s, and 5. */
+  /** Returns 1.5 times the number of requests that the limit allows in 4 s, plus 5. */
   private static double allowed(double perS) {
     return 1.5 * 4 * perS + 5;
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
@@ -18,13 +18,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Gateways with requests for one target that names a limit, on virtual time: a holder, deputies,
- * and the rest; messages take a few milliseconds.
+ * Simulates gateways with requests for one rate-limited target: a holder, deputies and followers.
+ * Time is virtual and messages take a few milliseconds.
  */
 final class QuotaFleet {
 
   static final int URGENT = 1;
-  static final int LATER = 2;
+  static final int DEFERRABLE = 2;
 
   private static final FleetTarget TARGET =
       new FleetTarget(
@@ -38,7 +38,7 @@
 
   private static final int DEPUTIES = 8;
   private static final long HELLO_MS = 300;
-  private static final int LONGEST_WAY_MS = 20;
+  private static final int MAX_LATENCY_MS = 20;
   private static final long ANSWER_MS = 60;
   private static final long VACANT_MS = 2_000;
 
@@ -59,7 +59,7 @@
     for (int i = 0; i < size; i++) {
       members.add(new Member(i));
     }
-    members.get(holder).desk.onGained(size);
+    members.get(holder).coordinator.onGained(size);
     run(2 * HELLO_MS);
   }
 
@@ -67,8 +67,8 @@
     return nowMs;
   }
 
-  /** The target names a limit in its answers from now on; none if null. */
-  void nameLimit(String perS) {
+  /** Sets the limit that the target announces in its responses; none if null. */
+  void announceLimit(String perS) {
     limit = perS;
   }
 
@@ -89,15 +89,15 @@
     return (int) members.stream().filter(m -> !m.traffic.quotas().limits().isEmpty()).count();
   }
 
-  /** The holder ends; the next one takes over after a while. */
+  /** Restarts the holder; the next one takes over after {@link #VACANT_MS}. */
   void loseHolder() {
     members.set(holder, new Member(holder));
     holder = (holder + 1) % members.size();
     holderSinceMs = nowMs + VACANT_MS;
-    at(VACANT_MS, () -> members.get(holder).desk.onGained(members.size()));
+    at(VACANT_MS, () -> members.get(holder).coordinator.onGained(members.size()));
   }
 
-  /** A gateway loses its way to all others, not to targets. */
+  /** Sets whether a gateway is cut off from all other gateways, but not from targets. */
   void cutOff(int gateway, boolean cut) {
     members.get(gateway).cut = cut;
   }
@@ -108,9 +108,9 @@
     }
   }
 
-  /** Returns the most requests that the target got in any 4 s since a time. */
-  int mostIn4s(long sinceMs) {
-    int most = 0;
+  /** Returns the maximum number of requests that the target received in any 4 s since a time. */
+  int maxRequestsIn4s(long sinceMs) {
+    int max = 0;
     int first = 0;
     for (int last = 0; last < arrivalsMs.size(); last++) {
       while (arrivalsMs.get(first) < sinceMs
@@ -120,9 +120,9 @@
           break;
         }
       }
-      most = Math.max(most, last - first + 1);
+      max = Math.max(max, last - first + 1);
     }
-    return most;
+    return max;
   }
 
   void run(long forMs) {
@@ -134,7 +134,7 @@
       }
       if (nowMs >= nextHelloMs) {
         nextHelloMs = nowMs + HELLO_MS;
-        members.forEach(Member::sayHello);
+        members.forEach(Member::sendHello);
       }
     }
   }
@@ -150,7 +150,7 @@
   private void send(Member from, int to, FleetMessage message) {
     Member receiver = members.get(to);
     if (!from.cut && !receiver.cut) {
-      at(1 + random.nextInt(LONGEST_WAY_MS), () -> receiver.take(from.index, message));
+      at(1 + random.nextInt(MAX_LATENCY_MS), () -> receiver.take(from.index, message));
     }
   }
 
@@ -163,11 +163,11 @@
   }
 
   /** One gateway. */
-  private final class Member implements QuotaCoordinator.Audience {
+  private final class Member implements QuotaCoordinator.Peers {
 
     private final int index;
     private final QuotaTraffic traffic;
-    private final QuotaCoordinator desk;
+    private final QuotaCoordinator coordinator;
     private final List<Integer> waiting = new ArrayList<>();
     private boolean cut;
 
@@ -181,18 +181,19 @@
                 return () -> {};
               },
               new SplittableRandom(random.nextLong()));
-      this.desk = new QuotaCoordinator("gateway-" + index, traffic.quotas(), this, () -> nowMs);
-      traffic.quotas().onLimit(desk::onSeen);
-      traffic.quotas().onAsk(desk::ask);
-      traffic.onUsable(service -> lookAgain());
+      this.coordinator =
+          new QuotaCoordinator("gateway-" + index, traffic.quotas(), this, () -> nowMs);
+      traffic.quotas().onLimit(coordinator::onSeen);
+      traffic.quotas().onAsk(coordinator::ask);
+      traffic.onUsable(service -> sendWaiting());
     }
 
     void request(int priority) {
       waiting.add(priority);
-      lookAgain();
+      sendWaiting();
     }
 
-    private void lookAgain() {
+    private void sendWaiting() {
       List<Integer> left = new ArrayList<>(waiting);
       waiting.clear();
       left.sort(Integer::compare);
@@ -214,32 +215,32 @@
 
     void take(int sender, FleetMessage message) {
       if (message instanceof QuotaRequest request) {
-        desk.onRequest("gateway-" + sender, request, reply -> send(this, sender, reply));
+        coordinator.onRequest("gateway-" + sender, request, reply -> send(this, sender, reply));
       } else if (message instanceof QuotaReply reply) {
         traffic.quotas().onReply(reply);
       } else if (message instanceof LimitNews news) {
-        desk.onNews(news, answer -> send(this, sender, answer));
+        coordinator.onNews(news, answer -> send(this, sender, answer));
       }
     }
 
-    /** The holder answers with who it is; while there is none two deputies hear what is known. */
-    private void sayHello() {
+    /** Sends a hello to the holder, or to two gateways while there is no holder. */
+    private void sendHello() {
       if (cut) {
         return;
       }
-      List<Integer> asked = new ArrayList<>();
+      List<Integer> receivers = new ArrayList<>();
       if (!isVacant()) {
         follow();
-        asked.add(holder);
+        receivers.add(holder);
       } else {
-        asked.add((holder + 1) % members.size());
-        asked.add((holder + 2) % members.size());
+        receivers.add((holder + 1) % members.size());
+        receivers.add((holder + 2) % members.size());
       }
-      for (int other : asked) {
+      for (int other : receivers) {
         Member receiver = members.get(other);
         if (receiver != this && !receiver.cut) {
-          receiver.desk.onHello(
-              "gateway-" + index, desk.digest(), answer -> send(receiver, index, answer));
+          receiver.coordinator.onHello(
+              "gateway-" + index, coordinator.digest(), answer -> send(receiver, index, answer));
         }
       }
     }
@@ -255,9 +256,9 @@
           deputies.add(Integer.toString(deputy));
         }
       }
-      Optional<String> followed =
+      Optional<String> holderAddress =
           index == holder ? Optional.empty() : Optional.of(Integer.toString(holder));
-      desk.onHolderAndDeputies(followed, deputies);
+      coordinator.onHolderAndDeputies(holderAddress, deputies);
       traffic.quotas().setGateways(members.size());
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReadOnlyStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReadOnlyStore.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A store for tests that write nothing and need no lease: such a call is a fault of the test. */
+/** Base of test stores without writes and leases, which throw an exception. */
 abstract class ReadOnlyStore implements KeyValueStore {
 
   @Override
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCircuitBreakerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCircuitBreakerTest.java
@@ -22,20 +22,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The store turns a part of a wide fleet away, or all of it.
+ * The store refuses some or all gateways of a large fleet.
  *
- * <p>Pattern: 33 of 95 gateways are answered 503 and 429 at once for 9 s, while each follows two
- * keys and the registry. Without a shared breaker they made 1,400 calls a second.
+ * <p>Of 95 gateways, 33 immediately receive 503 and 429 for 9 s while each of them follows two keys
+ * and the registry. Without a shared circuit breaker they made 1,400 calls per second.
  */
 class StoreCircuitBreakerTest {
 
-  private static final long LONGEST_PAUSE_MS = 2_000;
+  private static final long MAX_BACKOFF_MS = 2_000;
   private static final long ANSWER_MS = 4;
   private static final long RETRY_MS = 150;
   private static final int REFUSED_GATEWAYS = 33;
 
-  /** What the whole fleet may ask of its store in trouble. */
-  private static final int MOST_CALLS_A_SECOND = 60;
+  /** Maximum call rate of the whole fleet while the store refuses calls. */
+  private static final int MAX_CALLS_PER_SECOND = 60;
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final ControlThread control =
@@ -45,47 +45,47 @@
   private final StoreCallMetrics metrics = new StoreCallMetrics();
   private boolean refusing;
 
-  private StoreCircuitBreaker newGuard() {
-    return new StoreCircuitBreaker(clock, metrics, random.split(), () -> LONGEST_PAUSE_MS);
+  private StoreCircuitBreaker newBreaker() {
+    return new StoreCircuitBreaker(clock, metrics, random.split(), () -> MAX_BACKOFF_MS);
   }
 
   @Test
-  void refusedGatewaysAskLittle() {
+  void refusedGatewaysMakeFewCalls() {
     refusing = true;
     for (int gateway = 0; gateway < REFUSED_GATEWAYS; gateway++) {
-      startFollowers(newGuard());
+      startFollowers(newBreaker());
     }
     clock.advance(9_000);
     assertThat(metrics.made()).isAtLeast(REFUSED_GATEWAYS * 3L);
-    assertThat(metrics.made()).isAtMost(9L * MOST_CALLS_A_SECOND);
+    assertThat(metrics.made()).isAtMost(9L * MAX_CALLS_PER_SECOND);
   }
 
-  /** The load that the breaker answers: each part of each gateway tries again by itself. */
+  /** Shows the load without the breaker, when each component retries independently. */
   @Test
-  void withoutTheBreakerTheyAskFarMore() {
+  void withoutBreakerGatewaysMakeManyCalls() {
     refusing = true;
     for (int gateway = 0; gateway < REFUSED_GATEWAYS; gateway++) {
       startFollowers(new CountingGuard(metrics));
     }
     clock.advance(9_000);
-    assertThat(metrics.made()).isAtLeast(5 * 9L * MOST_CALLS_A_SECOND);
+    assertThat(metrics.made()).isAtLeast(5 * 9L * MAX_CALLS_PER_SECOND);
   }
 
   @Test
-  void theEndOfAnOutageIsNoticedWithinTheLongestPauseAndTheTrial() {
+  void endOfOutageIsDetectedWithinTheMaximumBackoffAndTheTrial() {
     refusing = true;
-    final KeyFollower follower = startFollowers(newGuard());
+    final KeyFollower follower = startFollowers(newBreaker());
     clock.advance(9_000);
     refusing = false;
-    // The trial may be another part's wait, and this follower's own wait comes after it.
+    // The trial call may be the watch of another component, followed by that of this follower.
     long waitMs = KeyFollower.SHORT_WAIT_MS + ANSWER_MS;
-    clock.advance(LONGEST_PAUSE_MS + waitMs + RETRY_MS + waitMs);
+    clock.advance(MAX_BACKOFF_MS + waitMs + RETRY_MS + waitMs);
     assertThat(follower.ageMs()).isAtMost(waitMs + RETRY_MS);
   }
 
   @Test
-  void keepingTheTermIsNeverHeldBack() {
-    StoreCircuitBreaker guard = newGuard();
+  void leaseRenewalIsNeverRejected() {
+    StoreCircuitBreaker guard = newBreaker();
     guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallEnd.REFUSED);
     assertThat(guard.begin(StoreCall.WATCH)).isEmpty();
     assertThat(guard.begin(StoreCall.LEASE_KEEP)).isPresent();
@@ -94,8 +94,8 @@
   }
 
   @Test
-  void anAnswerToKeepingTheTermSaysNothingOfOtherCalls() {
-    StoreCircuitBreaker guard = newGuard();
+  void responseToLeaseRenewalDoesNotCloseTheBreaker() {
+    StoreCircuitBreaker guard = newBreaker();
     guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallEnd.REFUSED);
     long kept = beginOrFail(guard, StoreCall.LEASE_KEEP);
     guard.onEnded(StoreCall.LEASE_KEEP, kept, StoreCallEnd.ANSWERED);
@@ -108,7 +108,9 @@
     return number.getAsLong();
   }
 
-  /** Starts what a gateway without a holder does; returns the follower of its first key. */
+  /**
+   * Starts the followers of a gateway that knows no holder. Returns the follower of its first key.
+   */
   private KeyFollower startFollowers(StoreCallGuard guard) {
     GuardedStore store = new GuardedStore(clock, guard, ANSWER_MS, () -> refusing);
     KeyFollower configuration = newFollower(store, "configuration");
@@ -127,7 +129,7 @@
         store, key, control, clock, log, RETRY_MS, Reliance.partial(() -> 2_390), result -> {});
   }
 
-  /** Counts and lets everything through. */
+  /** Counts and permits all calls. */
   private record CountingGuard(StoreCallMetrics metrics) implements StoreCallGuard {
 
     @Override
@@ -141,7 +143,7 @@
     }
   }
 
-  /** A registry in the same store. */
+  /** A registry backed by the same store. */
   private record GuardedRegistry(GuardedStore store) implements TargetRegistry {
 
     @Override
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermStore.java
@@ -12,26 +12,29 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A store whose term is vacant once, and silent while it is not; renewals wait while told to. */
+/**
+ * A store whose term is vacant until it is acquired. Watches then do not respond, and responses to
+ * renewals can be delayed.
+ */
 final class TermStore implements KeyValueStore {
 
   private final List<CompletableFuture<StoreOutcome>> held = new ArrayList<>();
-  private boolean holding;
-  private boolean gained;
-  private boolean vacates;
+  private boolean delayed;
+  private boolean acquired;
+  private boolean vacantAfterEnd;
 
   void holdAnswers() {
-    holding = true;
+    delayed = true;
   }
 
-  /** From now on the term is vacant once its lease has ended. */
+  /** Makes the term vacant when its lease ends from now on. */
   void vacateOnEnd() {
-    vacates = true;
+    vacantAfterEnd = true;
   }
 
-  /** Answers every renewal that waits. */
+  /** Responds to all delayed renewals. */
   void answer(StoreOutcome outcome) {
-    holding = false;
+    delayed = false;
     held.forEach(answer -> answer.complete(outcome));
     held.clear();
   }
@@ -44,8 +47,8 @@
   @Override
   public CompletableFuture<WriteResult> write(
       String key, byte[] value, long expectedRevision, Optional<StoreLeaseId> lease) {
-    StoreOutcome outcome = gained ? StoreOutcome.CONFLICT : StoreOutcome.DONE;
-    gained = true;
+    StoreOutcome outcome = acquired ? StoreOutcome.CONFLICT : StoreOutcome.DONE;
+    acquired = true;
     return CompletableFuture.completedFuture(new WriteResult(outcome, 1));
   }
 
@@ -56,7 +59,7 @@
 
   @Override
   public CompletableFuture<WatchResult> watch(String key, long afterRevision, long waitMs) {
-    if (gained) {
+    if (acquired) {
       return new CompletableFuture<>();
     }
     return CompletableFuture.completedFuture(
@@ -72,7 +75,7 @@
   @Override
   public CompletableFuture<StoreOutcome> keepAlive(StoreLeaseId lease) {
     CompletableFuture<StoreOutcome> answer = new CompletableFuture<>();
-    if (holding) {
+    if (delayed) {
       held.add(answer);
     } else {
       answer.complete(StoreOutcome.DONE);
@@ -82,7 +85,7 @@
 
   @Override
   public CompletableFuture<StoreOutcome> endLease(StoreLeaseId lease) {
-    gained &= !vacates;
+    acquired &= !vacantAfterEnd;
     return CompletableFuture.completedFuture(StoreOutcome.DONE);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/VirtualRegistry.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/VirtualRegistry.java
@@ -12,13 +12,13 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** A registry of targets on virtual time; each reader has its own way to it, which may be bad. */
+/** A registry of targets on virtual time. Each reader has its own connection with faults. */
 final class VirtualRegistry {
 
-  /** The platform's adapter gives a listing up after this long. */
-  private static final long GIVEN_UP_MS = 1_500;
+  /** Timeout of a listing in the adapter of the platform. */
+  private static final long LISTING_TIMEOUT_MS = 1_500;
 
-  /** A change, as a watch tells it. */
+  /** A change as reported by a watch. */
   private record Event(long revision, TargetId id, FleetTarget written) {}
 
   private final VirtualClock clock;
@@ -40,10 +40,10 @@
     events.add(new Event(++revision, id, null));
   }
 
-  /** One reader's way to the registry. */
+  /** The connection of one reader to the registry. */
   final class Reader implements TargetRegistry {
 
-    /** How long an answer takes once the registry has made it. */
+    /** Delay of a response after the registry has created it. */
     private long answerMs = 1;
 
     private boolean refused;
@@ -54,17 +54,17 @@
       answerMs = ms;
     }
 
-    /** Each call is refused at once, those that wait too. */
+    /** Sets whether all calls are refused immediately, including pending watches. */
     void setRefused(boolean now) {
       refused = now;
     }
 
-    /** The next listings go out on connections that carry nothing any more. */
+    /** Makes the next listings get no response, as on connections that stopped without an error. */
     void silenceNextListings(int count) {
       silentListings = count;
     }
 
-    /** What a read that may be old returns from now on. */
+    /** Sets the result of stale reads from now on. */
     void setStale(List<FleetTarget> old) {
       stale = old;
     }
@@ -73,11 +73,11 @@
     public CompletableFuture<RegistryListing> list() {
       if (silentListings > 0) {
         silentListings--;
-        CompletableFuture<RegistryListing> givenUp = new CompletableFuture<>();
-        clock.schedule(GIVEN_UP_MS, () -> givenUp.complete(RegistryListing.unavailable()));
-        return givenUp;
+        CompletableFuture<RegistryListing> timedOut = new CompletableFuture<>();
+        clock.schedule(LISTING_TIMEOUT_MS, () -> timedOut.complete(RegistryListing.unavailable()));
+        return timedOut;
       }
-      return later(
+      return delayed(
           refused
               ? RegistryListing.unavailable()
               : new RegistryListing(true, List.copyOf(entries.values()), List.of(), revision, 0));
@@ -87,7 +87,7 @@
     public CompletableFuture<RegistryListing> listStale() {
       return stale == null
           ? list()
-          : later(new RegistryListing(true, stale, List.of(), revision, 0));
+          : delayed(new RegistryListing(true, stale, List.of(), revision, 0));
     }
 
     @Override
@@ -109,7 +109,7 @@
       }
     }
 
-    private <T> CompletableFuture<T> later(T made) {
+    private <T> CompletableFuture<T> delayed(T made) {
       CompletableFuture<T> answer = new CompletableFuture<>();
       clock.schedule(answerMs, () -> answer.complete(made));
       return answer;
