--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/AnswerDecoder.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/AnswerDecoder.java
@@ -4,7 +4,8 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Reads the head of a target's answer, the only place where its header fields are interpreted.
+ * Decodes the head of a target's response. Only implementations of this interface interpret its
+ * header fields.
  *
  * @since 0.2
  */
@@ -12,11 +13,11 @@
 public interface AnswerDecoder {
 
   /**
-   * Reads the head of an answer.
+   * Decodes the head of a response.
    *
    * @param status the HTTP status
    * @param headers the header fields; not null
-   * @return never null; odd values are reported, not thrown
+   * @return never null; invalid values are reported in the result, not thrown
    */
   TargetSignals decode(int status, HttpFields headers);
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
@@ -20,27 +20,29 @@
 import org.tinylog.Logger;
 
 /**
- * One gateway: listens for callers, takes part in the fleet, ends in a planned way.
+ * A gateway process: serves callers, takes part in the fleet and shuts down gracefully.
  *
  * @since 0.2
  */
 public final class Gateway {
 
-  /** Assumed until the holder of the term has counted them. */
-  private static final int ASSUMED_PROCESSES = 10;
+  /** Assumed number of gateways until the holder of the term reports it. */
+  private static final int INITIAL_GATEWAY_COUNT = 10;
 
-  /** The most lines of one event in one second: 6 KB; what goes beyond is counted. */
+  /** Maximum log lines per event and second, about 6 KB. Further lines are only counted. */
   private static final int LOG_LINES_PER_SECOND = 30;
 
   /**
-   * For how long the store may be back before a gateway asks it again. The holder goes on for 9.5 s
-   * without it and has moves to write; the others hear the holder meanwhile. One that knows nothing
-   * yet serves nobody. Fleets of 95 refused gateways make some 60 calls a second so.
+   * Maximum backoff of store calls, which bounds the time until a gateway detects that the store
+   * has recovered. It is short for the holder, which continues for 9.5 s without the store and has
+   * moves to write. Other gateways receive updates from the holder meanwhile. A gateway that is not
+   * usable yet serves no callers, so it retries sooner. With these values a fleet of 95 refused
+   * gateways makes about 60 calls per second.
    */
-  private static final long HOLDER_STORE_PAUSE_MS = 250;
+  private static final long HOLDER_STORE_BACKOFF_MS = 250;
 
-  private static final long STORE_PAUSE_MS = 2_000;
-  private static final long UNUSABLE_STORE_PAUSE_MS = 500;
+  private static final long STORE_BACKOFF_MS = 2_000;
+  private static final long UNUSABLE_STORE_BACKOFF_MS = 500;
 
   private static final long STOP_POLL_MS = 20;
   private static final double MS_PER_SECOND = 1000.0;
@@ -51,26 +53,25 @@
   private final RequestMetrics metrics = new RequestMetrics();
   private final StoreCallMetrics storeCalls = new StoreCallMetrics();
   private final UnknownFields unknownFields = new UnknownFields(log);
-  private final MetricsPage page = new MetricsPage(metrics, storeCalls, unknownFields, log);
-  private final RoutingState state = new RoutingState(ASSUMED_PROCESSES);
+  private final MetricsPage metricsPage = new MetricsPage(metrics, storeCalls, unknownFields, log);
+  private final RoutingState state = new RoutingState(INITIAL_GATEWAY_COUNT);
   private final ControlThread control = new ControlThread("control", FailureHandler.logging());
   private final GatewayServer server;
   private final FleetControl fleet;
   private volatile boolean stopping;
 
   /**
-   * Creates a gateway that does not listen yet.
+   * Creates a gateway that is not started.
    *
-   * @param settings what it has to know; not null
-   * @param sharedKey proves that a peer belongs to the fleet; not null
-   * @param ports makes what it needs from outside, whose calls of the store are guarded; not null
+   * @param settings the settings; not null
+   * @param sharedKey authenticates the peers of the fleet; not null
+   * @param ports creates the external dependencies, with store calls that pass the guard; not null
    */
   public Gateway(
       GatewaySettings settings, SharedKey sharedKey, Function<StoreCallGuard, GatewayPorts> ports) {
     this.settings = settings;
     StoreCircuitBreaker guard =
-        new StoreCircuitBreaker(
-            clock, storeCalls, new SplittableRandom(), this::longestStorePauseMs);
+        new StoreCircuitBreaker(clock, storeCalls, new SplittableRandom(), this::maxStoreBackoffMs);
     GatewayPorts guarded = ports.apply(guard);
     this.server =
         new GatewayServer(
@@ -81,7 +82,7 @@
             metrics,
             guarded.answers(),
             unknownFields,
-            page,
+            metricsPage,
             this::isReady,
             () -> stopping);
     this.fleet =
@@ -89,51 +90,53 @@
             guarded, settings, sharedKey, state, control, clock, log, server.reports());
   }
 
-  private long longestStorePauseMs() {
+  private long maxStoreBackoffMs() {
     if (fleet.holdsTerm()) {
-      return HOLDER_STORE_PAUSE_MS;
+      return HOLDER_STORE_BACKOFF_MS;
     }
-    return state.current().isUsable() ? STORE_PAUSE_MS : UNUSABLE_STORE_PAUSE_MS;
+    return state.current().isUsable() ? STORE_BACKOFF_MS : UNUSABLE_STORE_BACKOFF_MS;
   }
 
   private void addGauges() {
-    page.addGauge(
+    metricsPage.addGauge(
         "cuminvalve_configuration_version",
         "Version of the configuration in force; 0 if there is none.",
         () -> state.current().configuration().map(RoutingConfiguration::version).orElse(0L));
-    page.addGauge(
+    metricsPage.addGauge(
         "cuminvalve_configuration_age_seconds",
         "For how long neither the store nor the holder has confirmed the configuration.",
         () -> fleet.configurationAgeMs() / MS_PER_SECOND);
-    page.addGauge("cuminvalve_targets", "Targets known.", () -> state.current().targets().size());
-    page.addGauge(
+    metricsPage.addGauge(
+        "cuminvalve_targets", "Targets known.", () -> state.current().targets().size());
+    metricsPage.addGauge(
         "cuminvalve_targets_age_seconds",
         "How old the newest confirmation of the targets is.",
         () -> clock.upper().sinceMs(state.targetsConfirmed()) / MS_PER_SECOND);
-    page.addGauge(
+    metricsPage.addGauge(
         "cuminvalve_owners_term",
         "Term of the holder that told the owners; 0 if they were read from the store.",
         () -> state.current().ownersVersion().term());
-    page.addGauge(
+    metricsPage.addGauge(
         "cuminvalve_keys_without_lease",
         "Keys of all services whose owner has no lease now.",
         () -> state.current().closedKeys());
-    page.addGauge("cuminvalve_gateways", "Gateways that run.", () -> state.current().processes());
-    page.addGauge(
+    metricsPage.addGauge(
+        "cuminvalve_gateways", "Gateways that run.", () -> state.current().processes());
+    metricsPage.addGauge(
         "cuminvalve_holds_term",
         "1 if this process holds the term, else 0.",
         () -> fleet.holdsTerm() ? 1 : 0);
-    page.addGauge(
+    metricsPage.addGauge(
         "cuminvalve_suspended_seconds",
         "For how long the host was suspended since the process started, as far as is known.",
         () -> clock.suspendedMs() / MS_PER_SECOND);
-    page.addGauge(
+    metricsPage.addGauge(
         "cuminvalve_log_suppressed_lines",
         "Lines of the log that were not written.",
         log::suppressedLines);
   }
 
-  /** Time went on without this process: nothing that it believes counts before it has looked. */
+  /** Handles a suspension of the host. Time-limited state is not valid until it is confirmed. */
   private void onSuspended(long forMs) {
     control.execute(
         () -> {
@@ -142,7 +145,7 @@
         });
   }
 
-  /** Starts. */
+  /** Adds the gauges and starts the server and the fleet control. */
   public void start() {
     addGauges();
     server.start();
@@ -156,16 +159,16 @@
   }
 
   /**
-   * Tells whether callers may be sent here.
+   * Returns whether this gateway is ready to serve callers.
    *
-   * @return false before the configuration and the targets are known, and once it stops
+   * @return false before the configuration and the targets are known and after shutdown has begun
    */
   public boolean isReady() {
     return !stopping && state.current().isUsable();
   }
 
   /**
-   * Returns the server, to learn its ports.
+   * Returns the server, which reports its ports.
    *
    * @return never null
    */
@@ -174,8 +177,8 @@
   }
 
   /**
-   * Stops in a planned way: hands the term over, goes on serving until callers have been led
-   * elsewhere and requests have ended, then closes everything.
+   * Shuts down gracefully: releases the term, continues to serve until callers have been redirected
+   * and requests have completed, then closes all components.
    *
    * @throws InterruptedException if the thread is interrupted
    */
@@ -198,7 +201,7 @@
     close();
   }
 
-  /** Closes everything at once, whatever is in progress. */
+  /** Closes all components immediately, without waiting for requests in progress. */
   public void close() {
     server.stop();
     fleet.close();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/GatewayPorts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/GatewayPorts.java
@@ -7,15 +7,15 @@
 import java.util.function.Function;
 
 /**
- * What a gateway needs from outside.
+ * The external dependencies of a gateway.
  *
- * @param store keeps what must last; not null
- * @param configurationKey where operators write the configuration in the store; not null
- * @param configurationDecoder reads it; throws a CodedException with INVALID_INPUT if it cannot;
- *     not null
- * @param registry where targets announce themselves; not null
- * @param leases gives orders to targets; not null
- * @param answers reads what targets say in their answers; not null
+ * @param store the store of persistent state; not null
+ * @param configurationKey the store key under which operators write the configuration; not null
+ * @param configurationDecoder decodes the configuration; throws a CodedException with INVALID_INPUT
+ *     if it is invalid; not null
+ * @param registry the registry of targets; not null
+ * @param leases controls the leases at targets; not null
+ * @param answers decodes the response heads of targets; not null
  * @since 0.2
  */
 public record GatewayPorts(
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/GatewaySettings.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/GatewaySettings.java
@@ -6,29 +6,31 @@
 import java.util.Optional;
 
 /**
- * What a gateway has to know at its start.
+ * The startup settings of a gateway.
  *
- * @param process names this process among the gateways; not null
- * @param dataCentre where it runs; not null
- * @param callerAddress where it listens for callers; not null
- * @param readinessAddress where it tells whether callers may be sent to it; not null
- * @param metricsAddress where it serves its metrics, if anywhere; not null
- * @param readinessPath the path of that question; not null
- * @param peerHost the IP address on which it listens for other gateways; not null
- * @param peerPort the port; 0 for any free one
- * @param headers the header fields in use; not null
- * @param firstCandidate whether it tries to take a vacant term at once; the others wait a little
- * @param processorCores how many cores it may use; stronger processes take a vacant term first
- * @param firstStart whether the whole fleet starts for the first time, so that nothing is known yet
- * @param leases the times of leases at targets; not null
- * @param repeatShare how many repeats are allowed for each request; 0 to 1
- * @param repeatsPerFleet how many more all gateways together may send in a window
- * @param repeatWindowMs the length of that window; milliseconds
- * @param stopNoticeMs how long it goes on serving after it has been told to stop, so that callers
- *     are led elsewhere; milliseconds
- * @param stopLimitMs by when it has ended after it has been told to stop; milliseconds
- * @param seedPeers peer addresses of some gateways, which may be down; asked for what they know
- *     while the store does not answer; not null
+ * @param process the id of this process among the gateways; not null
+ * @param dataCentre the data centre of this process; not null
+ * @param callerAddress the listen address for callers; not null
+ * @param readinessAddress the listen address of the readiness endpoint; not null
+ * @param metricsAddress the listen address of the metrics endpoint; empty to disable it; not null
+ * @param readinessPath the path of the readiness endpoint; not null
+ * @param peerHost the IP address to listen on for other gateways; not null
+ * @param peerPort the port to listen on for other gateways; 0 for any free port
+ * @param headers the names of the header fields; not null
+ * @param firstCandidate whether it tries to acquire a vacant term without delay
+ * @param processorCores the number of cores it may use; processes with few cores wait longer before
+ *     they try to acquire a vacant term
+ * @param firstStart whether the whole fleet starts for the first time, without earlier state
+ * @param leases the timings of leases at targets; not null
+ * @param repeatShare the number of retries permitted per request; 0 to 1
+ * @param repeatsPerFleet the number of additional retries that all gateways together may send per
+ *     window
+ * @param repeatWindowMs the length of the retry window; milliseconds
+ * @param stopNoticeMs how long it continues to serve after a stop request, so that callers can be
+ *     redirected; milliseconds
+ * @param stopLimitMs the maximum duration of a shutdown; milliseconds
+ * @param seedPeers peer addresses of some gateways, which may be down; they are asked for routing
+ *     state while the store does not respond; not null
  * @since 0.2
  */
 public record GatewaySettings(
@@ -52,7 +54,7 @@
     long stopLimitMs,
     List<String> seedPeers) {
 
-  /** Copies the list. */
+  /** Creates settings with a copy of the list. */
   public GatewaySettings {
     seedPeers = List.copyOf(seedPeers);
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FallbackRegistryFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FallbackRegistryFollower.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * Follows the registry of targets for this gateway alone, while it hears nothing of them from the
- * holder. For the control thread.
+ * Follows the registry of targets directly while this gateway receives no targets from the holder.
+ * Confined to the control thread.
  */
 final class FallbackRegistryFollower {
 
@@ -58,22 +58,22 @@
     follower = Optional.empty();
   }
 
-  /** Says how old the known targets are, if they were read here. */
+  /** Updates the confirmation time of the targets, if this follower is open. */
   void confirmTargets() {
-    follower.ifPresent(own -> state.confirmTargets(own.confirmed()));
+    follower.ifPresent(current -> state.confirmTargets(current.confirmed()));
   }
 
-  /** Tells whether the store leaves this gateway without an answer. For any thread. */
+  /** Returns whether the store does not respond to this gateway. Thread-safe. */
   boolean isSilent() {
     return follower.filter(RegistryFollower::isSilent).isPresent();
   }
 
   private void onTargets() {
     follower.ifPresent(
-        own -> {
-          List<FleetTarget> targets = own.register().all();
+        current -> {
+          List<FleetTarget> targets = current.register().all();
           state.update(snapshot -> snapshot.withTargets(targets));
-          state.confirmTargets(own.confirmed());
+          state.confirmTargets(current.confirmed());
         });
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StartupReader.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StartupReader.java
@@ -20,25 +20,26 @@
 import java.util.List;
 
 /**
- * What a process reads from the store once after its start, to route before it hears of a holder.
+ * Reads targets and owners from the store once at startup, to route requests before a holder is
+ * known.
  *
- * <p>When all processes have gone down together their targets still hold their leases for some
- * seconds. The next holder needs about a second on a processor that is not warm yet before it can
- * tell anybody. What the store says is as good until then: a target that does not own a key any
- * more refuses it. For the control thread.
+ * <p>After all gateways have failed together, targets still hold their leases for some seconds. The
+ * next holder needs about 1 s after a cold start before it can send routes. Routing by the stored
+ * owners is safe until then, because a target refuses keys that it no longer owns. Confined to the
+ * control thread.
  */
 final class StartupReader {
 
-  /** Learns what the store says. */
+  /** Receives the results of the reads. */
   interface Listener {
 
-    /** The registered targets, as they were at some time after the one given. */
+    /** Receives the registered targets, which were read at {@code asOf} or later. */
     void onTargets(List<FleetTarget> targets, UpperTime asOf);
 
-    /** The store did not tell them. */
+    /** Called if the targets could not be read. */
     void onTargetsUnavailable();
 
-    /** The owners as the last holder wrote them. */
+    /** Receives the owners as last written by a holder. */
     void onOwners(List<ServiceRanges> owners);
   }
 
@@ -69,13 +70,13 @@
   }
 
   void listTargets() {
-    UpperTime asked = clock.upper();
-    ports.registry().list().thenAcceptAsync(listing -> onListing(listing, asked), control);
+    UpperTime sent = clock.upper();
+    ports.registry().list().thenAcceptAsync(listing -> onListing(listing, sent), control);
   }
 
-  private void onListing(RegistryListing listing, UpperTime asked) {
+  private void onListing(RegistryListing listing, UpperTime sent) {
     if (listing.available()) {
-      listener.onTargets(listing.targets(), asked);
+      listener.onTargets(listing.targets(), sent);
     } else {
       listener.onTargetsUnavailable();
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/DecisionLog.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/DecisionLog.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 
 /**
- * Counts each decision and writes one line for it, of each kind at most so many a second.
+ * Counts decisions by event and logs each as a line, with a rate limit per event.
  *
- * <p>A line is {@code event=NAME} and pairs {@code name=value} after it. Each event has a budget of
- * its own, so that a flood of one kind hides no other. Once a second is over, a line tells how many
- * lines of the event it suppressed.
+ * <p>A line consists of {@code event=NAME} followed by pairs {@code name=value}. Each event has its
+ * own limit, so that a flood of one event does not hide others. The first line of an event after
+ * the end of a second is preceded by a line with the number of suppressed lines.
  *
  * @since 0.2
  */
@@ -20,16 +20,16 @@
   private final MillisClock clock;
   private final int linesPerSecond;
   private final Consumer<String> sink;
-  private final Map<String, LineBudget> budgets = new ConcurrentHashMap<>();
+  private final Map<String, LineRateLimiter> limiters = new ConcurrentHashMap<>();
   private final Map<String, LongAdder> counts = new ConcurrentHashMap<>();
   private final LongAdder suppressed = new LongAdder();
 
   /**
    * Creates a log.
    *
-   * @param clock measures the second; not null
-   * @param linesPerSecond the most lines of one event in one second
-   * @param sink takes the lines, without blocking; not null
+   * @param clock the time; not null
+   * @param linesPerSecond the maximum number of lines per event and second
+   * @param sink receives the lines; must not block; not null
    */
   public DecisionLog(MillisClock clock, int linesPerSecond, Consumer<String> sink) {
     this.clock = clock;
@@ -38,22 +38,22 @@
   }
 
   /**
-   * Writes a line.
+   * Counts an event and writes its line unless the limit is exceeded.
    *
-   * @param event the stable name of what happened; not null
+   * @param event the stable name of the event; not null
    * @param details pairs {@code name=value} with {@code {}} for each argument; not null
-   * @param arguments the values; not null
+   * @param arguments the values of the placeholders; not null
    */
   public void write(String event, String details, Object... arguments) {
     counts.computeIfAbsent(event, name -> new LongAdder()).increment();
     long nowMs = clock.nowMs();
-    LineBudget budget =
-        budgets.computeIfAbsent(event, name -> new LineBudget(linesPerSecond, nowMs));
-    int dropped = budget.roll(nowMs);
+    LineRateLimiter limiter =
+        limiters.computeIfAbsent(event, name -> new LineRateLimiter(linesPerSecond, nowMs));
+    int dropped = limiter.startWindowIfDue(nowMs);
     if (dropped > 0) {
       sink.accept("event=log_suppressed of=" + event + " lines=" + dropped);
     }
-    if (budget.take()) {
+    if (limiter.tryAcquire()) {
       sink.accept(format(event, details, arguments));
     } else {
       suppressed.increment();
@@ -61,7 +61,7 @@
   }
 
   /**
-   * Returns how many lines were suppressed.
+   * Returns the number of suppressed lines.
    *
    * @return at least 0
    */
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Returns how often each event happened, whether its line was written or not.
+   * Returns the number of occurrences of each event, including suppressed lines.
    *
    * @return never null
    */
@@ -82,12 +82,12 @@
     StringBuilder line = new StringBuilder(160).append("event=").append(event).append(' ');
     int from = 0;
     for (Object argument : arguments) {
-      int place = details.indexOf("{}", from);
-      if (place < 0) {
+      int placeholder = details.indexOf("{}", from);
+      if (placeholder < 0) {
         break;
       }
-      line.append(details, from, place).append(argument);
-      from = place + 2;
+      line.append(details, from, placeholder).append(argument);
+      from = placeholder + 2;
     }
     return line.append(details, from, details.length()).toString();
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/LineBudget.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/LineRateLimiter.java
@@ -1,11 +1,11 @@
 package io.cuminvalve.gateway.observe;
 
 /**
- * Allows so many lines a second and counts the others. Safe for use by several threads.
+ * Permits a number of lines per second and counts the suppressed ones. Thread-safe.
  *
  * @since 0.2
  */
-final class LineBudget {
+final class LineRateLimiter {
 
   private static final long WINDOW_MS = 1_000;
 
@@ -14,13 +14,13 @@
   private int written;
   private int suppressed;
 
-  LineBudget(int linesPerSecond, long nowMs) {
+  LineRateLimiter(int linesPerSecond, long nowMs) {
     this.linesPerSecond = linesPerSecond;
     this.windowStartMs = nowMs;
   }
 
-  /** Takes one line. Tells whether it may be written. */
-  synchronized boolean take() {
+  /** Returns whether one more line may be written in this window. */
+  synchronized boolean tryAcquire() {
     if (written >= linesPerSecond) {
       suppressed++;
       return false;
@@ -29,8 +29,11 @@
     return true;
   }
 
-  /** Begins another second if one is over. Returns how many lines the last one suppressed. */
-  synchronized int roll(long nowMs) {
+  /**
+   * Starts a new window if the current one has ended. Returns the number of lines that the last
+   * window suppressed.
+   */
+  synchronized int startWindowIfDue(long nowMs) {
     if (nowMs - windowStartMs < WINDOW_MS) {
       return 0;
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/MetricsPage.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/MetricsPage.java
@@ -18,9 +18,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Writes what this process counts in the Prometheus text format.
+ * Renders the metrics of this process in the Prometheus text format.
  *
- * <p>Everything is read when it is asked for: nothing runs between two scrapes.
+ * <p>All values are read on each scrape; nothing is computed between two scrapes.
  *
  * @since 0.2
  */
@@ -38,9 +38,9 @@
    * Creates a page without gauges.
    *
    * @param requests counts requests; not null
-   * @param storeCalls counts calls of the store; not null
-   * @param unknownFields counts fields of answers that nobody reads; not null
-   * @param log counts decisions; not null
+   * @param storeCalls counts store calls; not null
+   * @param unknownFields counts unknown header fields of responses; not null
+   * @param log counts decisions by event; not null
    */
   public MetricsPage(
       RequestMetrics requests,
@@ -54,18 +54,18 @@
   }
 
   /**
-   * Adds a gauge, before the first scrape.
+   * Adds a gauge. Must be called before the first scrape.
    *
-   * @param name its name, with its unit; not null
-   * @param help what it says; not null
-   * @param value reads it on any thread; not null
+   * @param name the metric name with its unit; not null
+   * @param help the help text; not null
+   * @param value supplies the value on any thread; not null
    */
   public void addGauge(String name, String help, DoubleSupplier value) {
     gauges.put(name, new Gauge(help, value));
   }
 
   /**
-   * Writes the page.
+   * Renders all metrics.
    *
    * @return UTF-8 text; never null
    */
@@ -190,7 +190,7 @@
     return counter.build();
   }
 
-  /** A value that is read when it is asked for. */
+  /** A gauge whose value is read on each scrape. */
   private record Gauge(String help, DoubleSupplier value) {
 
     private GaugeSnapshot snapshot(String name) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/NonBlockingOutput.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/NonBlockingOutput.java
@@ -8,33 +8,33 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A stream that never blocks its writers: a thread of its own passes the bytes on.
+ * An output stream that never blocks its writers, because a separate thread forwards the bytes.
  *
- * <p>A reader of the log that stops reading must not stop a request, nor fill the memory. What
- * exceeds the bound is dropped and counted; the count is written once there is room again. Safe for
- * use by several threads.
+ * <p>A log reader that stops reading must not block requests or exhaust the memory. Bytes beyond
+ * the capacity of the buffer are dropped and counted, and the count is written when there is space
+ * again. Thread-safe.
  *
  * @since 0.2
  */
 public final class NonBlockingOutput extends OutputStream {
 
   private final OutputStream out;
-  private final int mostBytes;
+  private final int maxBufferedBytes;
   private final ArrayDeque<byte[]> chunks = new ArrayDeque<>();
   private final AtomicLong dropped = new AtomicLong();
   private int bytes;
-  private long untold;
+  private long unreportedDrops;
 
   /**
    * Creates a stream and starts its thread.
    *
-   * @param out where the bytes go; not null
-   * @param mostBytes how many bytes may wait
+   * @param out receives the bytes; not null
+   * @param maxBufferedBytes the capacity of the buffer; bytes
    */
-  public NonBlockingOutput(OutputStream out, int mostBytes) {
+  public NonBlockingOutput(OutputStream out, int maxBufferedBytes) {
     this.out = out;
-    this.mostBytes = mostBytes;
-    Thread writer = new Thread(this::writeOn, "log-output");
+    this.maxBufferedBytes = maxBufferedBytes;
+    Thread writer = new Thread(this::forward, "log-output");
     writer.setDaemon(true);
     writer.start();
   }
@@ -46,14 +46,14 @@
 
   @Override
   public synchronized void write(byte[] source, int offset, int length) {
-    if (bytes + length > mostBytes) {
+    if (bytes + length > maxBufferedBytes) {
       dropped.addAndGet(length);
-      untold += length;
+      unreportedDrops += length;
       return;
     }
-    if (untold > 0) {
-      add(("event=log_dropped bytes=" + untold + "\n").getBytes(StandardCharsets.UTF_8));
-      untold = 0;
+    if (unreportedDrops > 0) {
+      add(("event=log_dropped bytes=" + unreportedDrops + "\n").getBytes(StandardCharsets.UTF_8));
+      unreportedDrops = 0;
     }
     add(Arrays.copyOfRange(source, offset, offset + length));
     notifyAll();
@@ -65,7 +65,7 @@
   }
 
   /**
-   * Returns how many bytes were dropped.
+   * Returns the number of dropped bytes.
    *
    * @return at least 0
    */
@@ -73,14 +73,14 @@
     return dropped.get();
   }
 
-  private void writeOn() {
+  private void forward() {
     try {
       while (true) {
         out.write(take());
         out.flush();
       }
     } catch (InterruptedException | IOException closed) {
-      // Nobody reads any more, and there is no other place to say so.
+      // The log cannot be written any more, so there is nowhere to report the failure.
       Thread.currentThread().interrupt();
     }
   }
@@ -95,19 +95,19 @@
   }
 
   /**
-   * Waits until everything that was written has been passed on, or for so long.
+   * Waits until the buffer is empty, at most for a given time.
    *
-   * @param limitMs how long; milliseconds
+   * @param limitMs the maximum time to wait; milliseconds
    * @throws InterruptedException if the thread is interrupted
    */
   public void drain(long limitMs) throws InterruptedException {
     long endNs = System.nanoTime() + limitMs * 1_000_000;
-    while (hasWaiting() && System.nanoTime() < endNs) {
+    while (hasPending() && System.nanoTime() < endNs) {
       Thread.sleep(1);
     }
   }
 
-  private synchronized boolean hasWaiting() {
+  private synchronized boolean hasPending() {
     return !chunks.isEmpty();
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/RequestMetrics.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/RequestMetrics.java
@@ -6,20 +6,20 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts requests and their times, for each route.
+ * Counts requests and measures their durations by route.
  *
- * <p>Plain adders: the Prometheus client is loaded by the first scrape only, so it costs nothing at
- * the start of a process. Routes beyond the first {@value #MOST_ROUTES} count together. Safe for
- * use by several threads.
+ * <p>It uses plain adders. The Prometheus client is loaded by the first scrape only, so it does not
+ * slow down startup. Routes beyond the first {@value #MAX_ROUTES} are counted together.
+ * Thread-safe.
  *
  * @since 0.2
  */
 public final class RequestMetrics {
 
-  /** How many routes get counters of their own. */
-  public static final int MOST_ROUTES = 64;
+  /** Maximum number of routes with separate counters. */
+  public static final int MAX_ROUTES = 64;
 
-  /** Stands for every further route. */
+  /** Name under which all further routes are counted. */
   public static final String OTHER_ROUTES = "other";
 
   /** Upper bounds of the buckets; milliseconds. Latency objectives lie between 0.4 and 1.5 s. */
@@ -32,11 +32,11 @@
   private final Map<String, LongAdder> refusals = new ConcurrentHashMap<>();
 
   /**
-   * Counts a request that has ended.
+   * Counts a completed request.
    *
-   * @param route its route; not null
-   * @param outcome how it ended; not null
-   * @param tookMs from its head to its end; milliseconds
+   * @param route the route of the request; not null
+   * @param outcome the outcome; not null
+   * @param tookMs the time from the request head to the end; milliseconds
    */
   public void onEnded(String route, RequestOutcome outcome, long tookMs) {
     countsOf(route).add(outcome, tookMs);
@@ -45,15 +45,15 @@
   /**
    * Counts a request that is about to be sent to a target.
    *
-   * @param ageMs from the earliest time at which it may have arrived to its first byte at the
-   *     target; milliseconds
+   * @param ageMs the time from the earliest possible arrival of the request to the first byte sent
+   *     to the target; milliseconds
    */
   public void onSent(long ageMs) {
     sent.add(RequestOutcome.ANSWERED, ageMs);
   }
 
   /**
-   * Returns how old requests may have been at their first byte.
+   * Returns the ages of requests when their first byte was sent.
    *
    * @return never null
    */
@@ -62,9 +62,9 @@
   }
 
   /**
-   * Counts why a request was given up.
+   * Counts a request that was given up.
    *
-   * @param reason one of a bounded set of names; not null
+   * @param reason the reason, one of a bounded set of names; not null
    */
   public void onGivenUp(String reason) {
     refusals.computeIfAbsent(reason, name -> new LongAdder()).increment();
@@ -80,7 +80,7 @@
   }
 
   /**
-   * Returns how many requests were given up for each reason.
+   * Returns the number of requests given up by reason.
    *
    * @return never null
    */
@@ -93,11 +93,11 @@
     if (known != null) {
       return known;
     }
-    String name = byRoute.size() < MOST_ROUTES ? route : OTHER_ROUTES;
-    return byRoute.computeIfAbsent(name, any -> new RouteCounts());
+    String name = byRoute.size() < MAX_ROUTES ? route : OTHER_ROUTES;
+    return byRoute.computeIfAbsent(name, unused -> new RouteCounts());
   }
 
-  /** What is counted for one route. */
+  /** The counters of one route. */
   static final class RouteCounts {
 
     private final Map<RequestOutcome, LongAdder> outcomes = new EnumMap<>(RequestOutcome.class);
@@ -138,7 +138,7 @@
       return BOUNDS_MS.clone();
     }
 
-    /** Returns how many answers fell into each bucket; the last one has no upper bound. */
+    /** Returns the number of answers in each bucket; the last one has no upper bound. */
     long[] bucketCounts() {
       long[] counts = new long[buckets.length];
       for (int i = 0; i < counts.length; i++) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/RequestOutcome.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/RequestOutcome.java
@@ -3,28 +3,28 @@
 import java.util.Locale;
 
 /**
- * How a request ended, as its caller saw it.
+ * The outcome of a request as seen by its caller.
  *
  * @since 0.2
  */
 public enum RequestOutcome {
-  /** A target answered it. */
+  /** A target answered the request. */
   ANSWERED,
-  /** A target answered that it failed. */
+  /** A target answered with a failure. */
   FAILED_AT_TARGET,
-  /** It did not run, and the caller was told so. */
+  /** The request did not run, and the caller was informed. */
   REFUSED,
-  /** Its time was over while a target may have worked on it. */
+  /** The deadline passed while a target may have been processing the request. */
   TIMED_OUT,
-  /** The connection to the target broke, or its answer was unusable. */
+  /** The connection to the target broke, or its response was invalid. */
   BROKEN,
-  /** The caller left before the answer. */
+  /** The caller disconnected before the response. */
   CALLER_GONE;
 
   /**
-   * Returns the name for labels.
+   * Returns the metric label.
    *
-   * @return lower case; never null
+   * @return the name in lower case; never null
    */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/StoreCallMetrics.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/StoreCallMetrics.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts calls of the store, by kind and end. Safe for use by several threads.
+ * Counts store calls by kind and outcome. Thread-safe.
  *
  * @since 0.2
  */
@@ -28,20 +28,20 @@
   }
 
   /**
-   * Counts a call that has ended, or was not made.
+   * Counts a call that has ended or was held back.
    *
-   * @param call what it did; not null
-   * @param end how it ended; not null
+   * @param call the kind of call; not null
+   * @param end the outcome; not null
    */
   public void onEnded(StoreCall call, StoreCallEnd end) {
     counts.get(call).get(end).increment();
   }
 
   /**
-   * Returns how many calls of a kind ended in a way.
+   * Returns the number of calls of a kind with an outcome.
    *
-   * @param call what they did; not null
-   * @param end how they ended; not null
+   * @param call the kind of call; not null
+   * @param end the outcome; not null
    * @return at least 0
    */
   public long count(StoreCall call, StoreCallEnd end) {
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Returns how many calls were made, whatever their kind and end.
+   * Returns the number of calls that were made, excluding those held back.
    *
    * @return at least 0
    */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/UnknownFields.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/UnknownFields.java
@@ -7,21 +7,23 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts header fields of answers that nobody reads, and writes one line for each new name.
+ * Counts unknown header fields of responses and logs each new name once.
  *
- * <p>Such a field may ask for something that this version does not do. Safe for use by several
- * threads.
+ * <p>Such a field may request a feature that this version does not support. Thread-safe.
  *
  * @since 0.2
  */
 public final class UnknownFields {
 
-  /** Names come from targets, so their number is bounded; more are counted together. */
-  static final int MOST_NAMES = 64;
+  /**
+   * Maximum number of separate names. Names are chosen by targets, so further ones are counted
+   * together.
+   */
+  static final int MAX_NAMES = 64;
 
   static final String OTHERS = "others";
 
-  private static final int MOST_CHARACTERS = 64;
+  private static final int MAX_NAME_LENGTH = 64;
 
   private final Map<String, LongAdder> counts = new ConcurrentHashMap<>();
   private final DecisionLog log;
@@ -29,17 +31,17 @@
   /**
    * Creates counters at zero.
    *
-   * @param log takes a line for each new name; not null
+   * @param log the decision log; receives a line for each new name; not null
    */
   public UnknownFields(DecisionLog log) {
     this.log = log;
   }
 
   /**
-   * Counts the fields of an answer.
+   * Counts the unknown fields of a response.
    *
-   * @param names their names; not null
-   * @param source which target answered, for the log; not null
+   * @param names the names of the fields; not null
+   * @param source the target that responded, for the log; not null
    */
   public void onAnswer(List<String> names, Object source) {
     for (String name : names) {
@@ -59,14 +61,14 @@
 
   private String keyOf(String name) {
     String key = name.toLowerCase(Locale.ROOT);
-    if (key.length() > MOST_CHARACTERS) {
-      key = key.substring(0, MOST_CHARACTERS);
+    if (key.length() > MAX_NAME_LENGTH) {
+      key = key.substring(0, MAX_NAME_LENGTH);
     }
-    return counts.containsKey(key) || counts.size() < MOST_NAMES ? key : OTHERS;
+    return counts.containsKey(key) || counts.size() < MAX_NAMES ? key : OTHERS;
   }
 
   /**
-   * Returns how often each field came.
+   * Returns the number of occurrences of each field.
    *
    * @return never null
    */
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryAgeTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryAgeTest.java
@@ -15,19 +15,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Whoever does not know of a change knows that what it knows is at least as old as the change. */
+/** The reported age of the targets is at least the time since the first unknown change. */
 class RegistryAgeTest {
 
-  private static final long WATCHED_MS = 10_000;
+  private static final long OBSERVED_MS = 10_000;
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final VirtualClock controlClock = new VirtualClock(10_000);
   private final VirtualRegistry registry = new VirtualRegistry(clock);
   private final VirtualRegistry.Reader reader = registry.new Reader();
 
-  private RegistryFollower follower(VirtualClock runs) {
+  private RegistryFollower follower(VirtualClock controlTime) {
     ControlThread control =
-        new ControlThread("test", FailureHandler.logging(), new VirtualExecutor(runs));
+        new ControlThread("test", FailureHandler.logging(), new VirtualExecutor(controlTime));
     registry.put(target(A, TargetPhase.READY));
     RegistryFollower follower =
         new RegistryFollower(
@@ -42,25 +42,25 @@
     return follower;
   }
 
-  /** Returns by how much the age was given too low, at worst, from the departure on. */
-  private long worstErrorMs(RegistryFollower follower, VirtualClock runs) {
+  /** Returns the largest amount by which the reported age is too low after a departure. */
+  private long worstErrorMs(RegistryFollower follower, VirtualClock controlTime) {
     registry.put(target(A, TargetPhase.DRAINING));
-    final long leftMs = clock.nowMs();
+    final long departedMs = clock.nowMs();
     long worst = 0;
-    for (long ms = 0; ms < WATCHED_MS; ms++) {
+    for (long ms = 0; ms < OBSERVED_MS; ms++) {
       clock.advance(1);
-      runs.advance(0);
+      controlTime.advance(0);
       boolean known = !follower.register().find(A).map(FleetTarget::isReady).orElse(true);
       if (!known) {
-        worst = Math.max(worst, clock.nowMs() - leftMs - follower.ageMs());
+        worst = Math.max(worst, clock.nowMs() - departedMs - follower.ageMs());
       }
     }
     return worst;
   }
 
-  /** Guards against an answer that was made long ago and counts as new. */
+  /** Guards against a delayed response that counts as new. */
   @Test
-  void answersThatWereHeldUpAreOld() {
+  void delayedResponsesAreOld() {
     final RegistryFollower follower = follower(clock);
     clock.advance(3_000);
     reader.setAnswerMs(2_600);
@@ -68,9 +68,9 @@
     assertWithMessage("the age is too low by, ms").that(worstErrorMs(follower, clock)).isAtMost(0);
   }
 
-  /** Guards against one that has heard nothing yet and passes for one that knows. */
+  /** Guards against a follower without any response that reports a low age. */
   @Test
-  void whoHasHeardNothingIsNotFresh() {
+  void followerWithoutResponseIsNotFresh() {
     reader.setRefused(true);
     final RegistryFollower follower = follower(clock);
     clock.advance(1_000);
@@ -79,9 +79,9 @@
         .isGreaterThan(FleetLink.STALE_REGISTRY_MS);
   }
 
-  /** Guards against a control thread that takes its own lateness for the registry's silence. */
+  /** Guards against a delayed control thread that considers the registry silent. */
   @Test
-  void theRegistryIsNotSilentWhileItsAnswersWaitForTheControlThread() {
+  void registryIsNotSilentWhileResponsesWaitForTheControlThread() {
     final RegistryFollower follower = follower(controlClock);
     controlClock.advance(0);
     for (int ms = 0; ms < 5_000; ms++) {
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void theRegistryIsSilentForAsLongAsItRefuses() {
+  void registryIsSilentWhileItRefusesCalls() {
     final RegistryFollower follower = follower(clock);
     reader.setRefused(true);
     clock.advance(3_000);
@@ -103,22 +103,22 @@
     assertWithMessage("silent afterwards").that(follower.isSilent()).isFalse();
   }
 
-  /** Guards against an answer that waited for a control thread that was busy. */
+  /** Guards against a response that counts as new after waiting for a busy control thread. */
   @Test
-  void answersThatWaitedForTheControlThreadAreOld() {
+  void responsesThatWaitedForTheControlThreadAreOld() {
     final RegistryFollower follower = follower(controlClock);
     for (int ms = 0; ms < 5_000; ms++) {
       clock.advance(1);
       controlClock.advance(1);
     }
-    // An answer without the departure arrives within a second and waits for the thread.
+    // A response without the departure arrives within 1 s and waits for the control thread.
     clock.advance(1_000);
     registry.put(target(A, TargetPhase.DRAINING));
-    final long leftMs = clock.nowMs();
+    final long departedMs = clock.nowMs();
     clock.advance(3_000);
     controlClock.advance(0);
     boolean known = !follower.register().find(A).map(FleetTarget::isReady).orElse(true);
-    long errorMs = known ? 0 : clock.nowMs() - leftMs - follower.ageMs();
+    long errorMs = known ? 0 : clock.nowMs() - departedMs - follower.ageMs();
     assertWithMessage("the age is too low by, ms").that(errorMs).isAtMost(0);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryFollowerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryFollowerTest.java
@@ -29,7 +29,7 @@
   private final ControlThread control = new ControlThread("test", FailureHandler.logging());
   private final AtomicLong nowMs = new AtomicLong();
   private final Registry registry = new Registry();
-  private final LinkedBlockingQueue<String> news = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<String> notifications = new LinkedBlockingQueue<>();
   private final RegistryFollower follower =
       new RegistryFollower(
           registry,
@@ -38,7 +38,7 @@
           new DecisionLog(() -> 0, 100, line -> {}),
           List.of(),
           UpperTime.NEVER,
-          () -> news.add("change"));
+          () -> notifications.add("change"));
 
   @AfterEach
   void tearDown() {
@@ -47,30 +47,30 @@
   }
 
   @Test
-  void quietRegistriesDoNotPassForLost() throws InterruptedException {
+  void unchangedRegistryDoesNotCountAsStale() throws InterruptedException {
     control.execute(follower::start);
     long waitMs = registry.waits.take();
     assertThat(RegistryFollower.PACE_MS + waitMs).isLessThan(FleetLink.STALE_REGISTRY_MS);
   }
 
   @Test
-  void changesAreTold() throws InterruptedException {
+  void changesAreReported() throws InterruptedException {
     registry.listed = List.of(A);
     control.execute(follower::start);
-    news.take();
+    notifications.take();
     registry.waits.take();
     registry.answer(
         new RegistryChanges(
             RegistryChanges.Status.ANSWERED, List.of(B), List.of(A.id()), List.of(), 9));
-    news.take();
+    notifications.take();
     assertThat(follower.register().all()).containsExactly(B);
   }
 
   @Test
-  void entriesThatLapsedInAnOutageMayComeBack() throws InterruptedException {
+  void entriesThatExpiredInOutageAreKeptForSomeTime() throws InterruptedException {
     registry.listed = List.of(A);
     control.execute(follower::start);
-    news.take();
+    notifications.take();
     registry.waits.take();
     registry.answer(RegistryChanges.none(RegistryChanges.Status.UNAVAILABLE));
     registry.waits.take();
@@ -83,15 +83,15 @@
     nowMs.addAndGet(5_000);
     registry.answer(
         new RegistryChanges(RegistryChanges.Status.ANSWERED, List.of(), List.of(), List.of(), 10));
-    news.take();
+    notifications.take();
     assertThat(follower.register().all()).isEmpty();
   }
 
   @Test
-  void entriesThatAnOlderCopyLacksMayComeBack() throws InterruptedException {
+  void entriesThatAnOlderCopyLacksAreKeptForSomeTime() throws InterruptedException {
     registry.listed = List.of(A, B);
     control.execute(follower::start);
-    news.take();
+    notifications.take();
     registry.waits.take();
     registry.listed = List.of(A);
     registry.epoch = 1;
@@ -101,20 +101,20 @@
     nowMs.addAndGet(5_000);
     registry.answer(
         new RegistryChanges(RegistryChanges.Status.ANSWERED, List.of(), List.of(), List.of(), 10));
-    news.take();
+    notifications.take();
     assertThat(follower.register().all()).containsExactly(A);
   }
 
   @Test
-  void theRemovedEntryIsThatOfWhicheverRunIsKnown() throws InterruptedException {
+  void removedEntryRemovesTheKnownRun() throws InterruptedException {
     registry.listed = List.of(target("a@10"));
     control.execute(follower::start);
-    news.take();
+    notifications.take();
     registry.waits.take();
     registry.answer(
         new RegistryChanges(
             RegistryChanges.Status.ANSWERED, List.of(), List.of(A.id()), List.of(), 9));
-    news.take();
+    notifications.take();
     assertThat(follower.register().all()).isEmpty();
   }
 
@@ -129,7 +129,7 @@
         0);
   }
 
-  /** Answers when the test says so. */
+  /** Responds to calls for changes when the test triggers it. */
   private static final class Registry implements TargetRegistry {
 
     private final LinkedBlockingQueue<Long> waits = new LinkedBlockingQueue<>();
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryIncarnationTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryIncarnationTest.java
@@ -14,13 +14,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Departures that the watch of the registry tells, of the run that is known or a later one. */
+/** Departures reported by the registry watch for the known run of a target or a later one. */
 class RegistryIncarnationTest {
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final VirtualRegistry registry = new VirtualRegistry(clock);
 
-  /** Returns the targets that are ready after an entry was written over with another. */
+  /** Returns the targets that are ready after an entry was overwritten by a draining one. */
   private List<FleetTarget> readyAfter(String firstRun, String drainingRun) {
     registry.put(FollowingGateway.target(new TargetId(firstRun), TargetPhase.READY));
     ControlThread control =
@@ -37,12 +37,12 @@
   }
 
   @Test
-  void entriesThatSayTheTargetDrainsCount() {
+  void drainingEntryOfTheKnownRunCounts() {
     assertThat(readyAfter("a@10", "a@10")).isEmpty();
   }
 
   @Test
-  void entriesThatNameLaterStartsCount() {
+  void drainingEntryOfLaterRunCounts() {
     assertThat(readyAfter("a@10", "a@11")).isEmpty();
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StartupReaderTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StartupReaderTest.java
@@ -30,7 +30,7 @@
 
 class StartupReaderTest {
 
-  private static final long ASKED_MS = 7;
+  private static final long SENT_MS = 7;
   private static final ServiceId SERVICE = new ServiceId("core");
   private static final TargetId A = new TargetId("a");
   private static final TargetId B = new TargetId("b");
@@ -50,11 +50,11 @@
   }
 
   @Test
-  void whatTheLastHolderWroteIsRouted() {
+  void ownersOfTheLastHolderAreReported() {
     RangeAssignment settled = new RangeAssignment(0, 9, A, List.of(), List.of());
     RangeAssignment moving = new RangeAssignment(10, 65_535, B, List.of(A), List.of());
     write(new OwnershipTable(SERVICE, List.of(settled, moving)));
-    look(true);
+    reader(true);
     assertThat(targets.join()).containsExactly(TARGET);
     assertThat(owners.join())
         .containsExactly(
@@ -64,17 +64,17 @@
   }
 
   @Test
-  void whatTheStoreDoesNotTellIsNotGuessed() {
-    look(false);
+  void unavailableRegistryReportsNoTargets() {
+    reader(false);
     assertThat(targets.isDone()).isFalse();
     assertThat(noTargets.isDone()).isTrue();
     assertThat(owners.isDone()).isFalse();
   }
 
   @Test
-  void unreadableRecordsAreLeftAlone() {
+  void unreadableRecordIsIgnored() {
     memory.write(OwnershipStore.KEY, new byte[] {1, 2}, KeyValueStore.ABSENT, Optional.empty());
-    look(true);
+    reader(true);
     assertThat(owners.isDone()).isFalse();
   }
 
@@ -83,27 +83,27 @@
     memory.write(OwnershipStore.KEY, bytes, KeyValueStore.ABSENT, Optional.empty());
   }
 
-  private void look(boolean registryAnswers) {
+  private void reader(boolean registryAnswers) {
     GatewayPorts ports =
         new GatewayPorts(memory, "configuration", null, new Registry(registryAnswers), null, null);
     DecisionLog log = new DecisionLog(() -> 0, 100, line -> {});
-    StartupReader look =
-        new StartupReader(ports, control, () -> ASKED_MS, log, codec, new Findings());
-    control.execute(look::readOwners);
-    control.execute(look::listTargets);
-    for (int turn = 0; turn < 5; turn++) {
+    StartupReader reader =
+        new StartupReader(ports, control, () -> SENT_MS, log, codec, new Results());
+    control.execute(reader::readOwners);
+    control.execute(reader::listTargets);
+    for (int round = 0; round < 5; round++) {
       CompletableFuture<Void> done = new CompletableFuture<>();
       control.execute(() -> done.complete(null));
       done.join();
     }
   }
 
-  /** Keeps what was found. */
-  private final class Findings implements StartupReader.Listener {
+  /** Records the results. */
+  private final class Results implements StartupReader.Listener {
 
     @Override
     public void onTargets(List<FleetTarget> found, UpperTime asOf) {
-      assertThat(asOf).isEqualTo(new UpperTime(ASKED_MS));
+      assertThat(asOf).isEqualTo(new UpperTime(SENT_MS));
       targets.complete(found);
     }
 
@@ -118,7 +118,7 @@
     }
   }
 
-  /** Has one target, or does not answer. */
+  /** A registry that has one target or is unavailable. */
   private record Registry(boolean answers) implements TargetRegistry {
 
     @Override
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermLeaseTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermLeaseTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The holder of the term on a host that is suspended. */
+/** The holder of the term on a suspended host and after a restore of the store. */
 class TermLeaseTest {
 
   private static final long GRACE_MS = 9_500;
 
-  private final VirtualClock steady = new VirtualClock(10_000);
+  private final VirtualClock baseClock = new VirtualClock(10_000);
   private final ControlThread control =
-      new ControlThread("test", FailureHandler.logging(), new VirtualExecutor(steady));
+      new ControlThread("test", FailureHandler.logging(), new VirtualExecutor(baseClock));
   private final TermStore store = new TermStore();
   private final List<String> events = new ArrayList<>();
   private long suspendedMs;
@@ -42,88 +42,88 @@
           new Events());
 
   private long nowMs() {
-    return steady.nowMs() + suspendedMs;
+    return baseClock.nowMs() + suspendedMs;
   }
 
   @BeforeEach
-  void gainTerm() {
+  void acquireTerm() {
     control.execute(lease::start);
-    steady.advance(1_000);
+    baseClock.advance(1_000);
     assertThat(events).containsExactly("gained");
     assertThat(lease.isConfirmedSinceResume()).isTrue();
   }
 
   @Test
-  void nothingCountsAfterWakingBeforeTheStoreHasConfirmed() {
+  void termIsUnconfirmedAfterResumeUntilTheStoreResponds() {
     store.holdAnswers();
     suspend(5_000);
     assertThat(lease.isConfirmedSinceResume()).isFalse();
-    steady.advance(50);
+    baseClock.advance(50);
     assertThat(lease.isConfirmedSinceResume()).isFalse();
     store.answer(StoreOutcome.DONE);
-    steady.advance(1);
+    baseClock.advance(1);
     assertThat(lease.isConfirmedSinceResume()).isTrue();
     assertThat(events).containsExactly("gained");
   }
 
   @Test
-  void whoeverLostTheTermMeanwhileStops() {
+  void holderThatLostTheTermWhileSuspendedStops() {
     store.holdAnswers();
     suspend(5_000);
     store.answer(StoreOutcome.CONFLICT);
-    steady.advance(1);
+    baseClock.advance(1);
     assertThat(events).containsExactly("gained", "lost").inOrder();
     assertThat(lease.isConfirmedSinceResume()).isFalse();
   }
 
-  /** By then the next holder counts on it that this one has stopped. */
+  /** After the grace time the next holder assumes that this one has stopped. */
   @Test
-  void whoeverSleptForTheWholeGraceStopsWithoutAsking() {
+  void holderSuspendedForTheWholeGraceTimeStopsWithoutCall() {
     store.holdAnswers();
     suspend(GRACE_MS);
     assertThat(events).containsExactly("gained", "lost").inOrder();
   }
 
   @Test
-  void theHolderTakesItsTermAgainAtOnce() {
+  void holderReacquiresTheTermWithoutDelay() {
     store.vacateOnEnd();
     control.execute(lease::onStoreCameBack);
     control.execute(lease::reacquire);
-    steady.advance(50);
+    baseClock.advance(50);
     assertThat(events).containsExactly("gained", "lost", "gained").inOrder();
   }
 
-  /** The older copy lacks its lease; what it knows has to be written before anybody else reads. */
+  /** The older copy lacks the lease; the holder must write its state before others read it. */
   @Test
-  void theHolderGoesOnForWhileWithoutItsLease() {
+  void holderContinuesBrieflyWithoutItsLeaseAfterRestore() {
     store.holdAnswers();
     control.execute(lease::onStoreCameBack);
-    steady.advance(400);
+    baseClock.advance(400);
     store.answer(StoreOutcome.CONFLICT);
     store.holdAnswers();
-    steady.advance(1);
+    baseClock.advance(1);
     assertThat(events).containsExactly("gained");
-    steady.advance(1_000);
+    baseClock.advance(1_000);
     store.answer(StoreOutcome.CONFLICT);
-    steady.advance(1);
+    baseClock.advance(1);
     assertThat(events).containsExactly("gained", "lost").inOrder();
   }
 
   @Test
-  void othersLetTheFormerHolderGoFirst() {
+  void otherCandidatesWaitForTheFormerHolderAfterRestore() {
     store.vacateOnEnd();
     control.execute(lease::onStoreCameBack);
     control.execute(() -> lease.relinquish("test"));
-    steady.advance(1_000);
+    baseClock.advance(1_000);
     assertThat(events).containsExactly("gained", "lost").inOrder();
-    steady.advance(1_000);
+    baseClock.advance(1_000);
     assertThat(events).containsExactly("gained", "lost", "gained").inOrder();
   }
 
   private void suspend(long forMs) {
     suspendedMs += forMs;
     control.execute(lease::onWoken);
-    steady.advance(0);
+    baseClock.advance(0);
   }
 
   private final class Events implements TermLease.Listener {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/DecisionLogTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/DecisionLogTest.java
@@ -13,7 +13,7 @@
   private final DecisionLog log = new DecisionLog(() -> nowMs, 2, lines::add);
 
   @Test
-  void valuesTakeTheirPlaces() {
+  void argumentsReplacePlaceholders() {
     log.write("moved", "from={} to={} load={}", "a", "b", 0.5);
     log.write("plain", "all=1");
     log.write("short", "one={} two={}", 1);
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void floodsOfOneEventHideNoOther() {
+  void floodOfOneEventDoesNotHideOthers() {
     for (int i = 0; i < 10; i++) {
       log.write("flood", "i={}", i);
     }
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void whatWasSuppressedIsTold() {
+  void numberOfSuppressedLinesIsLogged() {
     for (int i = 0; i < 5; i++) {
       log.write("flood", "i={}", i);
     }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/MetricsPageTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/MetricsPageTest.java
@@ -30,9 +30,9 @@
     assertThat(text).contains("cuminvalve_request_seconds_sum{route=\"claims\"} 20.12");
   }
 
-  /** Tells requests that waited here from those that waited unread. */
+  /** Distinguishes requests that waited in the gateway from those that waited unread. */
   @Test
-  void theTimeFromTheHeadToTheFirstByteIsCounted() {
+  void timeFromArrivalToFirstByteIsMeasured() {
     requests.onSent(120);
     requests.onSent(700);
     String text = text();
@@ -42,8 +42,8 @@
   }
 
   @Test
-  void furtherRoutesCountTogether() {
-    for (int i = 0; i < RequestMetrics.MOST_ROUTES + 10; i++) {
+  void routesBeyondTheMaximumAreCountedTogether() {
+    for (int i = 0; i < RequestMetrics.MAX_ROUTES + 10; i++) {
       requests.onEnded("route-" + i, RequestOutcome.ANSWERED, 1);
     }
     assertThat(text())
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void decisionsAreCountedAlsoWhereTheirLinesAreNot() {
+  void decisionsAreCountedEvenIfTheirLinesAreSuppressed() {
     log.write("keys_moved", "x=1");
     log.write("keys_moved", "x=2");
     requests.onGivenUp("owner_busy");
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void callsOfTheStoreAreCountedByKindAndEnd() {
+  void storeCallsAreCountedByKindAndOutcome() {
     storeCalls.onEnded(StoreCall.WATCH, StoreCallEnd.REFUSED);
     storeCalls.onEnded(StoreCall.WATCH, StoreCallEnd.REFUSED);
     storeCalls.onEnded(StoreCall.LEASE_KEEP, StoreCallEnd.ANSWERED);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void gaugesAreReadWhenTheyAreAskedFor() {
+  void gaugesAreReadOnEachScrape() {
     double[] value = {1};
     page.addGauge("cuminvalve_thing", "A thing.", () -> value[0]);
     assertThat(text()).contains("cuminvalve_thing 1.0");
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/NonBlockingOutputTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/NonBlockingOutputTest.java
@@ -26,8 +26,8 @@
   }
 
   @Test
-  void theReaderThatStopsBlocksNobodyAndFillsNoMemory() throws InterruptedException {
-    StoppedReader reader = new StoppedReader();
+  void blockedReaderNeitherBlocksWritersNorFillsMemory() throws InterruptedException {
+    BlockedReader reader = new BlockedReader();
     NonBlockingOutput output = new NonBlockingOutput(reader, 100);
     write(output, "first;");
     reader.reached.await();
@@ -35,13 +35,13 @@
       write(output, "0123456789");
     }
     assertThat(output.droppedBytes()).isEqualTo(9_900);
-    reader.goOn.countDown();
+    reader.released.countDown();
     output.drain(10_000);
     write(output, "last;");
-    while (!reader.taken.toString(UTF_8).endsWith("last;")) {
+    while (!reader.received.toString(UTF_8).endsWith("last;")) {
       Thread.onSpinWait();
     }
-    assertThat(reader.taken.toString(UTF_8)).contains("event=log_dropped bytes=9900\n");
+    assertThat(reader.received.toString(UTF_8)).contains("event=log_dropped bytes=9900\n");
   }
 
   private static void write(NonBlockingOutput output, String text) {
@@ -49,27 +49,27 @@
     output.write(bytes, 0, bytes.length);
   }
 
-  /** Takes nothing until it may go on. */
-  private static final class StoppedReader extends OutputStream {
+  /** A stream that blocks until it is released. */
+  private static final class BlockedReader extends OutputStream {
 
     private final CountDownLatch reached = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
-    private final ByteArrayOutputStream taken = new ByteArrayOutputStream();
+    private final CountDownLatch released = new CountDownLatch(1);
+    private final ByteArrayOutputStream received = new ByteArrayOutputStream();
 
     @Override
     public void write(int single) {
-      taken.write(single);
+      received.write(single);
     }
 
     @Override
     public void write(byte[] source, int offset, int length) throws IOException {
       reached.countDown();
       try {
-        goOn.await();
+        released.await();
       } catch (InterruptedException interrupt) {
         throw new InterruptedIOException();
       }
-      taken.write(source, offset, length);
+      received.write(source, offset, length);
     }
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/UnknownFieldsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/UnknownFieldsTest.java
@@ -13,7 +13,7 @@
       new UnknownFields(new DecisionLog(() -> 0, 1_000, lines::add));
 
   @Test
-  void eachNameIsCountedAndWrittenOnce() {
+  void eachNameIsCountedAndLoggedOnce() {
     fields.onAnswer(List.of("Server-Mood", "Server-Colour"), "core-0");
     fields.onAnswer(List.of("server-mood"), "core-1");
     assertThat(fields.counts().get("server-mood").sum()).isEqualTo(2);
@@ -25,11 +25,11 @@
   }
 
   @Test
-  void namesBeyondTheBoundAreCountedTogether() {
-    for (int i = 0; i < UnknownFields.MOST_NAMES + 10; i++) {
+  void namesBeyondTheMaximumAreCountedTogether() {
+    for (int i = 0; i < UnknownFields.MAX_NAMES + 10; i++) {
       fields.onAnswer(List.of("field-" + i), "core-0");
     }
-    assertThat(fields.counts()).hasSize(UnknownFields.MOST_NAMES + 1);
+    assertThat(fields.counts()).hasSize(UnknownFields.MAX_NAMES + 1);
     assertThat(fields.counts().get(UnknownFields.OTHERS).sum()).isEqualTo(10);
   }
 }
