--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
@@ -34,14 +34,14 @@
  */
 final class CrashCoordinator implements StateExchange.LocalState<CrashNews> {
 
-  /** The gateways that can be sent messages, and the store. */
+  /** The other gateways, the state of the term and the persistent quarantine. */
   interface Peers extends FleetAudience {
 
     /** Returns whether this process holds the term. */
     boolean isHolder();
 
-    /** Stores the quarantined requests, as the holder, in case the whole fleet is lost. */
-    void keep(CrashNews quarantined);
+    /** Persists the quarantined requests, as the holder, in case the whole fleet is lost. */
+    void persist(CrashNews quarantined);
   }
 
   /**
@@ -64,7 +64,7 @@
   private final Set<RequestFingerprint> locallySeen = new LinkedHashSet<>();
   private final Map<RequestFingerprint, Long> trialsEndMs = new HashMap<>();
   private Set<RequestFingerprint> watched = Set.of();
-  private long storedDigest;
+  private long persistedDigest;
   private Map<RequestFingerprint, Long> quarantined = Map.of();
   private final Map<RequestFingerprint, Integer> crashCounts = new HashMap<>();
 
@@ -85,7 +85,7 @@
   /** Processes crashes of targets that were running requests of this gateway. */
   void onCrashed(List<BrokenAttempt> attempts) {
     long nowMs = clock.nowMs();
-    Set<RequestFingerprint> news = new LinkedHashSet<>();
+    Set<RequestFingerprint> changed = new LinkedHashSet<>();
     for (BrokenAttempt attempt : attempts) {
       log.write(
           "target_ended_under_request",
@@ -95,16 +95,16 @@
           attempt.target(),
           attempt.endedMs() - attempt.sentMs(),
           nowMs - attempt.endedMs());
-      noteCrash(attempt.identity().content(), attempt.asCrash(), nowMs, news);
-      noteCrash(attempt.identity().contentAndCaller(), attempt.asCrash(), nowMs, news);
+      recordCrash(attempt.identity().content(), attempt.asCrash(), nowMs, changed);
+      recordCrash(attempt.identity().contentAndCaller(), attempt.asCrash(), nowMs, changed);
     }
-    applyChanges(news, Set.of());
+    applyChanges(changed, Set.of());
   }
 
-  private void noteCrash(
-      RequestFingerprint fingerprint, CrashedRun run, long nowMs, Set<RequestFingerprint> news) {
+  private void recordCrash(
+      RequestFingerprint fingerprint, CrashedRun run, long nowMs, Set<RequestFingerprint> changed) {
     if (ledger.onCrash(fingerprint, run, nowMs)) {
-      news.add(fingerprint);
+      changed.add(fingerprint);
     }
   }
 
@@ -117,17 +117,17 @@
   }
 
   /** Processes crashes sent by another process. */
-  void onNews(CrashNews news, Consumer<FleetMessage> sender) {
+  void onNews(CrashNews update, Consumer<FleetMessage> sender) {
     long nowMs = clock.nowMs();
     Set<RequestFingerprint> learned = new LinkedHashSet<>();
-    for (CrashReport report : news.reports()) {
+    for (CrashReport report : update.reports()) {
       if (ledger.merge(report, nowMs)) {
         learned.add(report.fingerprint());
       }
     }
     applyChanges(Set.of(), learned);
-    if (news.complete()) {
-      exchange.onComplete(news, sender);
+    if (update.complete()) {
+      exchange.onComplete(update, sender);
     }
   }
 
@@ -222,22 +222,22 @@
       broadcast.addAll(learned);
       broadcast.removeIf(changed -> !before.contains(changed) && !watched.contains(changed));
       tellAll(broadcast);
-      storeQuarantined();
+      persistQuarantined();
     }
   }
 
-  private void storeQuarantined() {
+  private void persistQuarantined() {
     long digest = quarantined.keySet().stream().mapToLong(this::digestOf).sum();
-    if (digest != storedDigest) {
-      storedDigest = digest;
-      peers.keep(new CrashNews(false, ledger.reports(quarantined.keySet(), clock.nowMs())));
+    if (digest != persistedDigest) {
+      persistedDigest = digest;
+      peers.persist(new CrashNews(false, ledger.reports(quarantined.keySet(), clock.nowMs())));
     }
   }
 
   /** Merges the quarantine stored by the previous holder, after this process acquired the term. */
   void onStored(CrashNews stored) {
     onNews(stored, message -> {});
-    storeQuarantined();
+    persistQuarantined();
   }
 
   private void tellHolderAndDeputies(Set<RequestFingerprint> changed) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
@@ -19,7 +19,7 @@
 
 /**
  * Connects the {@link CrashCoordinator} of this gateway with its traffic, the other gateways and
- * the store. For the control thread.
+ * the store. Confined to the control thread.
  */
 final class CrashLink extends PeerAudience implements CrashCoordinator.Peers {
 
@@ -100,7 +100,7 @@
   }
 
   @Override
-  public void keep(CrashNews quarantined) {
-    quarantineStore.keep(quarantined);
+  public void persist(CrashNews quarantined) {
+    quarantineStore.persist(quarantined);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
@@ -17,7 +17,7 @@
 
 /**
  * Connects the {@link DepartureCoordinator} of this gateway with its traffic, its routing and the
- * other gateways. For the control thread.
+ * other gateways. Confined to the control thread.
  */
 final class DepartureLink {
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
@@ -24,12 +24,12 @@
  */
 final class KeyFollower {
 
-  /** Wait of a poll while peers confirm the data; the maximum that the store allows. */
+  /** How long a call waits while peers confirm the data; the maximum that the store allows. */
   static final long LONG_WAIT_MS = 30_000;
 
   /**
-   * Wait of a poll otherwise. It costs two calls per second and is a quarter of the time in which a
-   * change must take effect.
+   * How long a call waits otherwise. This costs two calls per second and is a quarter of the time
+   * in which a change must take effect.
    */
   static final long SHORT_WAIT_MS = 500;
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuarantineStore.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuarantineStore.java
@@ -65,7 +65,7 @@
   }
 
   /** Replaces the stored quarantine as soon as the store is available. */
-  void keep(CrashNews quarantined) {
+  void persist(CrashNews quarantined) {
     if (open) {
       unwritten = Optional.of(quarantined);
       writeNext();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
@@ -16,7 +16,7 @@
 
 /**
  * Connects the {@link QuotaCoordinator} of this gateway with its traffic and the other gateways.
- * For the control thread.
+ * Confined to the control thread.
  */
 final class QuotaLink extends PeerAudience implements QuotaCoordinator.Peers {
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RegistryFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RegistryFollower.java
@@ -34,7 +34,7 @@
   /** Pause between two calls. A leaving target must not receive requests after 2 s. */
   static final long PACE_MS = 350;
 
-  /** Wait of one call for a change. */
+  /** How long one call waits for a change. */
   static final long WAIT_MS = 400;
 
   /**
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StateExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StateExchange.java
@@ -37,13 +37,13 @@
   }
 
   private final LocalState<N> localState;
-  private final FleetAudience audience;
+  private final FleetAudience peers;
   private Optional<String> holder = Optional.empty();
   private Set<String> holderAndDeputies = Set.of();
 
-  StateExchange(LocalState<N> localState, FleetAudience audience) {
+  StateExchange(LocalState<N> localState, FleetAudience peers) {
     this.localState = localState;
-    this.audience = audience;
+    this.peers = peers;
   }
 
   /**
@@ -63,12 +63,12 @@
 
   /** Sends an update to the holder, unless it is this gateway, and to its deputies. */
   void tellHolderAndDeputies(N update) {
-    holderAndDeputies.forEach(address -> audience.tell(address, update));
+    holderAndDeputies.forEach(address -> peers.tell(address, update));
   }
 
   /** Sends a message to the holder, unless it is this gateway. */
   void tellHolder(FleetMessage message) {
-    holder.ifPresent(address -> audience.tell(address, message));
+    holder.ifPresent(address -> peers.tell(address, message));
   }
 
   /** Processes the digest in the hello of another process. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCircuitBreaker.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCircuitBreaker.java
@@ -75,7 +75,7 @@
       case ANSWERED -> breaker.onAnswered(number);
       case REFUSED -> breaker.onRefused(number, clock.nowMs());
       case BROKEN, SILENT -> breaker.onFailed(number, clock.nowMs());
-      default -> throw new IllegalArgumentException("no end of a call that was made: " + end);
+      default -> throw new IllegalArgumentException("outcome of a call that was not made: " + end);
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermLease.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermLease.java
@@ -62,7 +62,10 @@
 
   private static final long RENEW_INTERVAL_MS = 350;
 
-  /** Time without confirmation after two failed renewals, or one without a response. */
+  /**
+   * Time without confirmation after which the store counts as unavailable. By then two renewals
+   * have failed, or one got no response.
+   */
   private static final long OUTAGE_MS = 1_000;
 
   private static final long RETRY_MS = 200;
@@ -123,7 +126,7 @@
    * @param random randomizes the delay of candidates; not null
    * @param log the decision log; not null
    * @param codec encodes and decodes the stored record; not null
-   * @param ownNote the record written when this process acquires the term; not null
+   * @param ownRecord the record written when this process acquires the term; not null
    * @param firstCandidate whether this process tries to acquire a vacant term without delay
    * @param processorCores how many cores this process may use; above 0
    * @param graceMs how long the term is kept without confirmation by the store; milliseconds
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/package-info.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/package-info.java
@@ -1,2 +1,2 @@
-/** Log lines for decisions, bounded in volume. */
+/** The rate-limited decision log and the metrics of a gateway. */
 package io.cuminvalve.gateway.observe;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
@@ -178,8 +178,8 @@
     if (!to.alive) {
       return;
     }
-    if (delivery.message instanceof CrashNews news) {
-      to.coordinator.onNews(news, answer -> send(to, from.index, answer));
+    if (delivery.message instanceof CrashNews update) {
+      to.coordinator.onNews(update, answer -> send(to, from.index, answer));
     } else if (delivery.message instanceof TrialRequest request) {
       to.coordinator.onTrialRequest(request.fingerprint(), answer -> send(to, from.index, answer));
     } else if (delivery.message instanceof TrialPermit) {
@@ -253,7 +253,7 @@
     }
 
     @Override
-    public void keep(CrashNews quarantined) {
+    public void persist(CrashNews quarantined) {
       stored = Optional.of(quarantined);
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/KeyFollowerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/KeyFollowerTest.java
@@ -18,7 +18,7 @@
 
   private static final long RETRY_MS = 150;
   private static final long MAX_AGE_MS = 1_400;
-  private static final long BEAT_MS = 300;
+  private static final long HEARTBEAT_MS = 300;
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final ControlThread control =
@@ -76,7 +76,7 @@
     store.silenceWaitingCalls();
     store.put((byte) 2);
     follower.onPeerRevision(2, UpperTime.NEVER);
-    clock.advance(BEAT_MS);
+    clock.advance(HEARTBEAT_MS);
     assertThat(follower.revision()).isEqualTo(2);
   }
 
@@ -86,12 +86,12 @@
     store.silenceWaitingCalls();
     store.put((byte) 2);
     follower.onPeerRevision(2, UpperTime.NEVER);
-    clock.advance(BEAT_MS);
+    clock.advance(HEARTBEAT_MS);
     store.silenceWaitingCalls();
     store.put((byte) 3);
-    for (long ms = 0; ms < MAX_AGE_MS + BEAT_MS; ms += BEAT_MS) {
+    for (long ms = 0; ms < MAX_AGE_MS + HEARTBEAT_MS; ms += HEARTBEAT_MS) {
       follower.onPeerRevision(1, clock.upper());
-      clock.advance(BEAT_MS);
+      clock.advance(HEARTBEAT_MS);
     }
     assertThat(follower.revision()).isEqualTo(3);
   }
@@ -232,9 +232,9 @@
 
   /** Simulates a holder that repeatedly confirms the known revision. */
   private void confirmFor(long durationMs) {
-    for (long ms = 0; ms < durationMs; ms += BEAT_MS) {
+    for (long ms = 0; ms < durationMs; ms += HEARTBEAT_MS) {
       follower.onPeerRevision(follower.revision(), clock.upper());
-      clock.advance(BEAT_MS);
+      clock.advance(HEARTBEAT_MS);
     }
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuarantineStoreTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuarantineStoreTest.java
@@ -25,7 +25,7 @@
   private final ControlThread control = new ControlThread("test", FailureHandler.logging());
   private final DecisionLog log = new DecisionLog(() -> 0, 100, line -> {});
   private final List<CrashNews> read = new ArrayList<>();
-  private final QuarantineStore first = quarantineStore(news -> {});
+  private final QuarantineStore first = quarantineStore(update -> {});
   private final QuarantineStore second = quarantineStore(read::add);
 
   @AfterEach
@@ -36,18 +36,18 @@
   @Test
   void nextHolderReadsStoredQuarantine() {
     run(first::open);
-    run(() -> first.keep(news(1)));
-    run(() -> first.keep(news(2)));
+    run(() -> first.persist(update(1)));
+    run(() -> first.persist(update(2)));
     run(second::open);
-    assertThat(read).containsExactly(news(2));
+    assertThat(read).containsExactly(update(2));
   }
 
   @Test
   void gatewayWithoutTermWritesNothing() {
-    run(() -> first.keep(news(1)));
+    run(() -> first.persist(update(1)));
     run(first::open);
     run(first::close);
-    run(() -> first.keep(news(1)));
+    run(() -> first.persist(update(1)));
     run(second::open);
     assertThat(read).isEmpty();
   }
@@ -56,37 +56,37 @@
   void valueOfAnotherHolderIsReadBeforeItIsReplaced() {
     run(first::open);
     run(second::open);
-    run(() -> first.keep(news(1)));
-    run(() -> second.keep(news(2)));
-    assertThat(read).containsExactly(news(1));
+    run(() -> first.persist(update(1)));
+    run(() -> second.persist(update(2)));
+    assertThat(read).containsExactly(update(1));
     run(second::open);
-    assertThat(read).containsExactly(news(1), news(2)).inOrder();
+    assertThat(read).containsExactly(update(1), update(2)).inOrder();
   }
 
   @Test
   void writeWithoutResponseIsReadBack() {
     run(second::open);
     memory.loseNextAnswer();
-    run(() -> second.keep(news(1)));
-    run(() -> second.keep(news(2)));
+    run(() -> second.persist(update(1)));
+    run(() -> second.persist(update(2)));
     run(second::open);
-    assertThat(read.get(read.size() - 1)).isEqualTo(news(2));
+    assertThat(read.get(read.size() - 1)).isEqualTo(update(2));
   }
 
   @Test
   void unreadableValueIsReplaced() {
     memory.write(QuarantineStore.KEY, new byte[] {1, 2}, KeyValueStore.ABSENT, Optional.empty());
     run(second::open);
-    run(() -> second.keep(news(3)));
+    run(() -> second.persist(update(3)));
     run(second::open);
-    assertThat(read).containsExactly(news(3));
+    assertThat(read).containsExactly(update(3));
   }
 
   private QuarantineStore quarantineStore(Consumer<CrashNews> onRead) {
     return new QuarantineStore(memory, control, log, new RecordCodec(), onRead);
   }
 
-  private static CrashNews news(int number) {
+  private static CrashNews update(int number) {
     RequestFingerprint fingerprint = new RequestFingerprint(number);
     TargetId target = new TargetId("core-" + number);
     return new CrashNews(
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
@@ -218,8 +218,8 @@
         coordinator.onRequest("gateway-" + sender, request, reply -> send(this, sender, reply));
       } else if (message instanceof QuotaReply reply) {
         traffic.quotas().onReply(reply);
-      } else if (message instanceof LimitNews news) {
-        coordinator.onNews(news, answer -> send(this, sender, answer));
+      } else if (message instanceof LimitNews update) {
+        coordinator.onNews(update, answer -> send(this, sender, answer));
       }
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryAgeTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RegistryAgeTest.java
@@ -65,7 +65,9 @@
     clock.advance(3_000);
     reader.setAnswerMs(2_600);
     clock.advance(10_000);
-    assertWithMessage("the age is too low by, ms").that(worstErrorMs(follower, clock)).isAtMost(0);
+    assertWithMessage("reported age too low by (ms)")
+        .that(worstErrorMs(follower, clock))
+        .isAtMost(0);
   }
 
   /** Guards against a follower without any response that reports a low age. */
@@ -74,7 +76,7 @@
     reader.setRefused(true);
     final RegistryFollower follower = follower(clock);
     clock.advance(1_000);
-    assertWithMessage("age given by one that never had an answer")
+    assertWithMessage("age reported without any response")
         .that(follower.ageMs())
         .isGreaterThan(FleetLink.STALE_REGISTRY_MS);
   }
@@ -86,7 +88,7 @@
     controlClock.advance(0);
     for (int ms = 0; ms < 5_000; ms++) {
       clock.advance(1);
-      assertWithMessage("silent, %s ms after a listing that was answered at once", ms)
+      assertWithMessage("silent %s ms after a listing with an immediate response", ms)
           .that(follower.isSilent())
           .isFalse();
     }
@@ -97,10 +99,10 @@
     final RegistryFollower follower = follower(clock);
     reader.setRefused(true);
     clock.advance(3_000);
-    assertWithMessage("silent while it refuses").that(follower.isSilent()).isTrue();
+    assertWithMessage("silent while the registry refuses calls").that(follower.isSilent()).isTrue();
     reader.setRefused(false);
     clock.advance(RegistryFollower.WAIT_MS + RegistryFollower.PACE_MS);
-    assertWithMessage("silent afterwards").that(follower.isSilent()).isFalse();
+    assertWithMessage("silent after the refusals").that(follower.isSilent()).isFalse();
   }
 
   /** Guards against a response that counts as new after waiting for a busy control thread. */
@@ -119,6 +121,6 @@
     controlClock.advance(0);
     boolean known = !follower.register().find(A).map(FleetTarget::isReady).orElse(true);
     long errorMs = known ? 0 : clock.nowMs() - departedMs - follower.ageMs();
-    assertWithMessage("the age is too low by, ms").that(errorMs).isAtMost(0);
+    assertWithMessage("reported age too low by (ms)").that(errorMs).isAtMost(0);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermStore.java
@@ -54,7 +54,7 @@
 
   @Override
   public CompletableFuture<WriteResult> delete(String key, long expectedRevision) {
-    throw new UnsupportedOperationException("nothing is deleted here");
+    throw new UnsupportedOperationException("delete is not supported");
   }
 
   @Override
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchDelayBoundsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchDelayBoundsTest.java
@@ -34,7 +34,7 @@
 
   private static final long IN_FORCE_MS = 2_000;
   private static final long LARGE_FLEET_IN_FORCE_MS = 2_000;
-  private static final long BEAT_MS = 300;
+  private static final long HEARTBEAT_MS = 300;
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final ControlThread control =
@@ -174,9 +174,9 @@
       control.execute(other::start);
       clock.advance(1_000);
       int before = ofOther.calls();
-      for (long ms = 0; ms < 60_000; ms += BEAT_MS) {
+      for (long ms = 0; ms < 60_000; ms += HEARTBEAT_MS) {
         other.onPeerRevision(holder.revision(), clock.upper().minusMs(holder.ageMs()));
-        clock.advance(BEAT_MS);
+        clock.advance(HEARTBEAT_MS);
       }
       worst = Math.max(worst, ofOther.calls() - before);
       control.execute(holder::close);
@@ -206,8 +206,8 @@
     boolean sent = false;
     for (int version = 2; version < 30; version++) {
       store.put((byte) version);
-      for (long ms = 0; ms < 900; ms += BEAT_MS) {
-        clock.advance(BEAT_MS);
+      for (long ms = 0; ms < 900; ms += HEARTBEAT_MS) {
+        clock.advance(HEARTBEAT_MS);
         sent |= watch.missingFrom(lacking).isPresent();
       }
     }
@@ -354,9 +354,9 @@
   }
 
   private void confirm(KeyFollower follower, long durationMs) {
-    for (long ms = 0; ms < durationMs; ms += BEAT_MS) {
+    for (long ms = 0; ms < durationMs; ms += HEARTBEAT_MS) {
       follower.onPeerRevision(follower.revision(), clock.upper());
-      clock.advance(BEAT_MS);
+      clock.advance(HEARTBEAT_MS);
     }
   }
 
