--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StartupReaderTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StartupReaderTest.java
@@ -54,7 +54,7 @@
     RangeAssignment settled = new RangeAssignment(0, 9, A, List.of(), List.of());
     RangeAssignment moving = new RangeAssignment(10, 65_535, B, List.of(A), List.of());
     write(new OwnershipTable(SERVICE, List.of(settled, moving)));
-    reader(true);
+    read(true);
     assertThat(targets.join()).containsExactly(TARGET);
     assertThat(owners.join())
         .containsExactly(
@@ -65,7 +65,7 @@
 
   @Test
   void unavailableRegistryReportsNoTargets() {
-    reader(false);
+    read(false);
     assertThat(targets.isDone()).isFalse();
     assertThat(noTargets.isDone()).isTrue();
     assertThat(owners.isDone()).isFalse();
@@ -74,7 +74,7 @@
   @Test
   void unreadableRecordIsIgnored() {
     memory.write(OwnershipStore.KEY, new byte[] {1, 2}, KeyValueStore.ABSENT, Optional.empty());
-    reader(true);
+    read(true);
     assertThat(owners.isDone()).isFalse();
   }
 
@@ -83,7 +83,7 @@
     memory.write(OwnershipStore.KEY, bytes, KeyValueStore.ABSENT, Optional.empty());
   }
 
-  private void reader(boolean registryAnswers) {
+  private void read(boolean registryAnswers) {
     GatewayPorts ports =
         new GatewayPorts(memory, "configuration", null, new Registry(registryAnswers), null, null);
     DecisionLog log = new DecisionLog(() -> 0, 100, line -> {});
