--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashCoordinatorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashCoordinatorTest.java
@@ -70,7 +70,7 @@
 
   /** Copies arrive in bursts at all gateways; only one at a time may be sent as a trial. */
   @Test
-  void trialsOfWatchedRequestsAreGrantedOneAtATime() {
+  void trialsOfWatchedRequestsAreNotConcurrent() {
     CrashFleet fleet = new CrashFleet(20, new Random(8));
     crash(fleet, 1, CRASHING);
     fleet.run(1_000);
