--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
@@ -34,13 +34,13 @@
   static final long SHORT_WAIT_MS = 500;
 
   /** Initial time after the wait until a response is overdue. A slow store takes up to 240 ms. */
-  static final long ANSWER_MS = 400;
+  static final long RESPONSE_TIMEOUT_MS = 400;
 
   /**
-   * Upper bound for {@link #ANSWER_MS}, which each overdue response doubles so that a large or slow
-   * response eventually arrives. The call itself does not last longer.
+   * Upper bound for {@link #RESPONSE_TIMEOUT_MS}, which each overdue response doubles so that a
+   * large or slow response eventually arrives. The call itself does not last longer.
    */
-  private static final long MAX_ANSWER_MS = 1_500;
+  private static final long MAX_RESPONSE_TIMEOUT_MS = 1_500;
 
   /** How long to wait for the response of the store after a peer has reported a change. */
   private static final long PEER_REVISION_GRACE_MS = 100;
@@ -58,7 +58,7 @@
   private final Consumer<WatchResult> listener;
   private boolean open;
   private boolean mustRead;
-  private long answerMs = ANSWER_MS;
+  private long responseTimeoutMs = RESPONSE_TIMEOUT_MS;
   private long revision;
   private volatile UpperTime confirmedByStore = UpperTime.NEVER;
   private volatile UpperTime confirmedByPeers = UpperTime.NEVER;
@@ -206,8 +206,9 @@
       WatchFreshness freshness = new WatchFreshness(sent, sentMs, waitMs);
       store
           .watch(key, revision, waitMs)
-          .thenApply(result -> new Answer(result, validAsOf(result, freshness)))
-          .thenAcceptAsync(answer -> onResult(number, answer.result, answer.validAsOf), control);
+          .thenApply(result -> new Response(result, validAsOf(result, freshness)))
+          .thenAcceptAsync(
+              response -> onResult(number, response.result, response.validAsOf), control);
     }
   }
 
@@ -248,7 +249,7 @@
     }
     pending = false;
     if (answered) {
-      noteAnswer(result);
+      recordResponse(result);
     }
     listener.accept(result);
     if (answered) {
@@ -272,8 +273,8 @@
     return freshness.validAsOf(result.event() == WatchResult.Event.UNCHANGED, clock.nowMs());
   }
 
-  private void noteAnswer(WatchResult result) {
-    answerMs = Math.max(ANSWER_MS, answerMs / 2);
+  private void recordResponse(WatchResult result) {
+    responseTimeoutMs = Math.max(RESPONSE_TIMEOUT_MS, responseTimeoutMs / 2);
     if (result.event() != WatchResult.Event.UNCHANGED) {
       absent = result.event() == WatchResult.Event.ABSENT;
     } else if (reliance.isEntire().getAsBoolean() && callNumber > peerRevisionCall) {
@@ -324,13 +325,13 @@
         && nowMs - peerRevisionMs > PEER_REVISION_GRACE_MS) {
       return Optional.of("change_missed");
     }
-    if (nowMs - sentMs > waitMs + answerMs) {
-      answerMs = Math.min(MAX_ANSWER_MS, 2 * answerMs);
+    if (nowMs - sentMs > waitMs + responseTimeoutMs) {
+      responseTimeoutMs = Math.min(MAX_RESPONSE_TIMEOUT_MS, 2 * responseTimeoutMs);
       return Optional.of("answer_overdue");
     }
     return waitMs > SHORT_WAIT_MS && !isFresh() ? Optional.of("unconfirmed") : Optional.empty();
   }
 
   /** A response of the store and the time as of which it is valid. */
-  private record Answer(WatchResult result, UpperTime validAsOf) {}
+  private record Response(WatchResult result, UpperTime validAsOf) {}
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RegistryFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RegistryFollower.java
@@ -41,13 +41,13 @@
    * Time after the wait until a call is considered lost on an unresponsive connection and is
    * repeated on another one.
    */
-  private static final long ANSWER_MS = 400;
+  private static final long RESPONSE_TIMEOUT_MS = 400;
 
   /**
-   * Upper bound for {@link #ANSWER_MS} of listings, which each overdue listing doubles so that an
-   * unreachable store gets fewer calls.
+   * Upper bound for {@link #RESPONSE_TIMEOUT_MS} of listings, which each overdue listing doubles so
+   * that an unreachable store gets fewer calls.
    */
-  private static final long MAX_LISTING_ANSWER_MS = 1_600;
+  private static final long MAX_LISTING_TIMEOUT_MS = 1_600;
 
   /** Response time after which the store counts as silent. A slow store responds faster. */
   static final long SILENT_AFTER_MS = 300;
@@ -82,9 +82,9 @@
   private UpperTime confirmed;
   private long keepUntilMs;
   private Optional<Long> outageSince = Optional.empty();
-  private long listingTimeoutMs = ANSWER_MS;
+  private long listingTimeoutMs = RESPONSE_TIMEOUT_MS;
   private long callNumber;
-  private long answeredNumber;
+  private long answeredCallNumber;
 
   RegistryFollower(
       TargetRegistry registry,
@@ -114,26 +114,26 @@
     registry
         .list()
         .thenApply(listing -> recordResponse(number, listing.available(), listing))
-        .thenAcceptAsync(listing -> onListed(number, listing, sent), control);
+        .thenAcceptAsync(listing -> onListing(number, listing, sent), control);
     control.schedule(() -> onListingOverdue(number), listingTimeoutMs);
   }
 
   private void onListingOverdue(long number) {
-    if (!closed && number == callNumber && number > answeredNumber) {
+    if (!closed && number == callNumber && number > answeredCallNumber) {
       log.write("registry_call_renewed", "revision={} age_ms={}", revision, ageMs());
-      listingTimeoutMs = Math.min(MAX_LISTING_ANSWER_MS, 2 * listingTimeoutMs);
+      listingTimeoutMs = Math.min(MAX_LISTING_TIMEOUT_MS, 2 * listingTimeoutMs);
       start();
     }
   }
 
   /** Records a response. Must be called on the thread that delivers it. */
-  private <T> T recordResponse(long number, boolean available, T answer) {
+  private <T> T recordResponse(long number, boolean available, T response) {
     if (available) {
-      monitor.onAnswer(number, WAIT_MS);
+      monitor.onResponse(number, WAIT_MS);
     } else {
       monitor.onRefusal(number);
     }
-    return answer;
+    return response;
   }
 
   void close() {
@@ -169,25 +169,25 @@
     return monitor.isSilent();
   }
 
-  private void onListed(long number, RegistryListing listing, UpperTime sent) {
-    if (closed || number <= answeredNumber) {
+  private void onListing(long number, RegistryListing listing, UpperTime sent) {
+    if (closed || number <= answeredCallNumber) {
       return;
     }
     boolean isNewest = number == callNumber;
     if (!listing.available()) {
       if (isNewest) {
-        answeredNumber = number;
-        noteOutage();
+        answeredCallNumber = number;
+        recordOutage();
         control.schedule(this::start, RETRY_MS);
       }
       return;
     }
-    answeredNumber = callNumber;
-    listingTimeoutMs = ANSWER_MS;
-    onAnswer(sent);
+    answeredCallNumber = callNumber;
+    listingTimeoutMs = RESPONSE_TIMEOUT_MS;
+    onResponse(sent);
     logUnreadable(listing.unreadable());
     revision = listing.revision();
-    noteEpoch(listing.epoch());
+    recordEpoch(listing.epoch());
     final boolean firstListing = !listed;
     listed = true;
     Set<TargetId> present = new HashSet<>();
@@ -212,7 +212,7 @@
    * Notes the epoch of the store. After a restore from an older copy, targets that the copy lacks
    * write their entries again, as after an outage.
    */
-  private void noteEpoch(long now) {
+  private void recordEpoch(long now) {
     if (listed && now != epoch) {
       keepUntilMs = clock.nowMs() + REAPPEAR_MS;
       log.write("registry_came_back_older", "epoch={}", now);
@@ -229,18 +229,18 @@
     WatchFreshness freshness = new WatchFreshness(clock.upper(), clock.nowMs(), WAIT_MS);
     registry
         .changes(revision, WAIT_MS)
-        .thenApply(changes -> recordResponse(number, isAnswered(changes), changes))
-        .thenApply(changes -> new Answer(changes, validAsOf(changes, freshness)))
-        .thenAcceptAsync(answer -> onChanges(number, answer), control);
-    control.schedule(() -> onOverdue(number), WAIT_MS + ANSWER_MS);
+        .thenApply(changes -> recordResponse(number, isAvailable(changes), changes))
+        .thenApply(changes -> new Response(changes, validAsOf(changes, freshness)))
+        .thenAcceptAsync(response -> onChanges(number, response), control);
+    control.schedule(() -> onOverdue(number), WAIT_MS + RESPONSE_TIMEOUT_MS);
   }
 
-  private static boolean isAnswered(RegistryChanges changes) {
+  private static boolean isAvailable(RegistryChanges changes) {
     return changes.status() != RegistryChanges.Status.UNAVAILABLE;
   }
 
   private void onOverdue(long number) {
-    if (!closed && number == callNumber && number > answeredNumber) {
+    if (!closed && number == callNumber && number > answeredCallNumber) {
       log.write("registry_call_renewed", "revision={} age_ms={}", revision, ageMs());
       watch();
     }
@@ -250,35 +250,35 @@
    * Processes a response. The response to a call that was repeated since counts too, unless a later
    * call has been answered. Otherwise no response of a permanently slow store would ever count.
    */
-  private void onChanges(long number, Answer answer) {
-    final RegistryChanges changes = answer.changes;
-    if (closed || number <= answeredNumber) {
+  private void onChanges(long number, Response response) {
+    final RegistryChanges changes = response.changes;
+    if (closed || number <= answeredCallNumber) {
       return;
     }
     if (number != callNumber) {
-      onLateChanges(number, answer);
+      onLateChanges(number, response);
       return;
     }
-    answeredNumber = number;
+    answeredCallNumber = number;
     switch (changes.status()) {
       case ANSWERED -> {
-        onAnswer(answer.validAsOf);
+        onResponse(response.validAsOf);
         applyChanges(changes);
         control.schedule(this::watch, PACE_MS);
       }
       case HISTORY_LOST -> start();
       default -> {
-        noteOutage();
+        recordOutage();
         control.schedule(this::watch, RETRY_MS);
       }
     }
   }
 
-  private void onLateChanges(long number, Answer answer) {
-    if (answer.changes.status() == RegistryChanges.Status.ANSWERED) {
-      answeredNumber = number;
-      onAnswer(answer.validAsOf);
-      applyChanges(answer.changes);
+  private void onLateChanges(long number, Response response) {
+    if (response.changes.status() == RegistryChanges.Status.ANSWERED) {
+      answeredCallNumber = number;
+      onResponse(response.validAsOf);
+      applyChanges(response.changes);
     }
   }
 
@@ -291,13 +291,13 @@
     return freshness.validAsOf(unchanged, clock.nowMs());
   }
 
-  private void noteOutage() {
+  private void recordOutage() {
     if (outageSince.isEmpty()) {
       outageSince = Optional.of(clock.nowMs());
     }
   }
 
-  private void onAnswer(UpperTime validAsOf) {
+  private void onResponse(UpperTime validAsOf) {
     if (outageSince.filter(since -> clock.nowMs() - since > OUTAGE_MS).isPresent()) {
       keepUntilMs = clock.nowMs() + REAPPEAR_MS;
       log.write("registry_regained", "after_ms={}", ageMs());
@@ -361,5 +361,5 @@
   }
 
   /** A response of the registry and the time as of which it is valid. */
-  private record Answer(RegistryChanges changes, UpperTime validAsOf) {}
+  private record Response(RegistryChanges changes, UpperTime validAsOf) {}
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreResponseMonitor.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreResponseMonitor.java
@@ -12,9 +12,9 @@
 final class StoreResponseMonitor {
 
   private final MillisClock clock;
-  private final long answerMs;
+  private final long responseTimeoutMs;
   private long newestCall;
-  private boolean answerDue;
+  private boolean responseDue;
   private long dueMs;
   private boolean refused;
 
@@ -22,19 +22,20 @@
    * Creates a monitor without any call.
    *
    * @param clock the time; not null
-   * @param answerMs how long a response may take in addition to the wait of its call; milliseconds
+   * @param responseTimeoutMs how long a response may take in addition to the wait of its call;
+   *     milliseconds
    */
-  StoreResponseMonitor(MillisClock clock, long answerMs) {
+  StoreResponseMonitor(MillisClock clock, long responseTimeoutMs) {
     this.clock = clock;
-    this.answerMs = answerMs;
+    this.responseTimeoutMs = responseTimeoutMs;
   }
 
   /** Records a call that waits up to {@code waitMs} for a change. Call numbers increase. */
   synchronized void onCall(long number, long waitMs) {
     newestCall = number;
-    if (!answerDue) {
-      answerDue = true;
-      dueMs = clock.nowMs() + waitMs + answerMs;
+    if (!responseDue) {
+      responseDue = true;
+      dueMs = clock.nowMs() + waitMs + responseTimeoutMs;
     }
   }
 
@@ -42,10 +43,10 @@
    * Records the response to a call. If a later call is pending, its response becomes due after
    * {@code waitMs} and the response time from now on.
    */
-  synchronized void onAnswer(long number, long waitMs) {
+  synchronized void onResponse(long number, long waitMs) {
     refused = false;
-    answerDue = number < newestCall;
-    dueMs = clock.nowMs() + waitMs + answerMs;
+    responseDue = number < newestCall;
+    dueMs = clock.nowMs() + waitMs + responseTimeoutMs;
   }
 
   /** Records that a call was refused or failed. Only the newest call counts. */
@@ -55,6 +56,6 @@
 
   /** Returns whether the newest call was refused or a response is overdue. */
   synchronized boolean isSilent() {
-    return refused || (answerDue && clock.nowMs() > dueMs);
+    return refused || (responseDue && clock.nowMs() > dueMs);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/KeyFollowerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/KeyFollowerTest.java
@@ -100,7 +100,7 @@
   void overdueResponseIsNotAwaited() {
     store.silenceWaitingCalls();
     store.put((byte) 2);
-    clock.advance(KeyFollower.SHORT_WAIT_MS + KeyFollower.ANSWER_MS + 150);
+    clock.advance(KeyFollower.SHORT_WAIT_MS + KeyFollower.RESPONSE_TIMEOUT_MS + 150);
     assertThat(follower.revision()).isEqualTo(2);
   }
 
@@ -198,7 +198,7 @@
   private void relyOnPeers() {
     reliesOnPeers = true;
     store.silenceWaitingCalls();
-    clock.advance(KeyFollower.SHORT_WAIT_MS + KeyFollower.ANSWER_MS + 150);
+    clock.advance(KeyFollower.SHORT_WAIT_MS + KeyFollower.RESPONSE_TIMEOUT_MS + 150);
     confirmFor(1_000);
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreResponseMonitorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreResponseMonitorTest.java
@@ -7,11 +7,11 @@
 
 class StoreResponseMonitorTest {
 
-  private static final long ANSWER_MS = 300;
+  private static final long RESPONSE_TIMEOUT_MS = 300;
   private static final long WAIT_MS = 400;
 
   private final VirtualClock clock = new VirtualClock(10_000);
-  private final StoreResponseMonitor monitor = new StoreResponseMonitor(clock, ANSWER_MS);
+  private final StoreResponseMonitor monitor = new StoreResponseMonitor(clock, RESPONSE_TIMEOUT_MS);
 
   @Test
   void storeWithoutCallsIsNotSilent() {
@@ -22,11 +22,11 @@
   @Test
   void responseIsDueAfterTheWait() {
     monitor.onCall(1, WAIT_MS);
-    clock.advance(WAIT_MS + ANSWER_MS);
+    clock.advance(WAIT_MS + RESPONSE_TIMEOUT_MS);
     assertThat(monitor.isSilent()).isFalse();
     clock.advance(1);
     assertThat(monitor.isSilent()).isTrue();
-    monitor.onAnswer(1, WAIT_MS);
+    monitor.onResponse(1, WAIT_MS);
     clock.advance(60_000);
     assertThat(monitor.isSilent()).isFalse();
   }
@@ -35,7 +35,7 @@
   @Test
   void repeatedCallsDoNotExtendTheDeadline() {
     monitor.onCall(1, WAIT_MS);
-    clock.advance(WAIT_MS + ANSWER_MS);
+    clock.advance(WAIT_MS + RESPONSE_TIMEOUT_MS);
     monitor.onCall(2, WAIT_MS);
     clock.advance(1);
     assertThat(monitor.isSilent()).isTrue();
@@ -47,9 +47,9 @@
     monitor.onCall(1, WAIT_MS);
     monitor.onCall(2, WAIT_MS);
     clock.advance(2_000);
-    monitor.onAnswer(1, WAIT_MS);
+    monitor.onResponse(1, WAIT_MS);
     assertThat(monitor.isSilent()).isFalse();
-    clock.advance(WAIT_MS + ANSWER_MS + 1);
+    clock.advance(WAIT_MS + RESPONSE_TIMEOUT_MS + 1);
     assertThat(monitor.isSilent()).isTrue();
   }
 
@@ -62,7 +62,7 @@
     monitor.onRefusal(2);
     assertThat(monitor.isSilent()).isTrue();
     monitor.onCall(3, 0);
-    monitor.onAnswer(3, 0);
+    monitor.onResponse(3, 0);
     assertThat(monitor.isSilent()).isFalse();
   }
 }
