--- /dev/null
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
@@ -0,0 +1,121 @@
+package io.cuminvalve.gateway.control;
+
+import io.cuminvalve.core.fleet.DepartureReport;
+import io.cuminvalve.core.fleet.DepartureTracker;
+import io.cuminvalve.core.id.TargetId;
+import io.cuminvalve.core.protocol.DepartureNews;
+import io.cuminvalve.core.protocol.FleetMessage;
+import io.cuminvalve.gateway.observe.DecisionLog;
+import io.cuminvalve.kernel.MillisClock;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+
+/**
+ * Replicates which targets have announced in a response that they are leaving.
+ *
+ * <p>The first gateway that receives the announcement informs all others by a {@link
+ * StateExchange}, because the registry may report it much later or never. Confined to the control
+ * thread.
+ */
+final class DepartureCoordinator implements StateExchange.LocalState<DepartureNews> {
+
+  private final DepartureTracker ledger = new DepartureTracker();
+  private final FleetAudience peers;
+  private final StateExchange<DepartureNews> exchange;
+  private final MillisClock clock;
+  private final DecisionLog log;
+  private final Consumer<Set<TargetId>> onChange;
+
+  /**
+   * Creates a coordinator without departures.
+   *
+   * @param peers the other gateways; a message to all reaches only followers of the holder; not
+   *     null
+   * @param clock the time; not null
+   * @param log the decision log; not null
+   * @param onChange receives all leaving targets after each change; not null
+   */
+  DepartureCoordinator(
+      FleetAudience peers, MillisClock clock, DecisionLog log, Consumer<Set<TargetId>> onChange) {
+    this.peers = peers;
+    this.exchange = new StateExchange<>(this, peers);
+    this.clock = clock;
+    this.log = log;
+    this.onChange = onChange;
+  }
+
+  /** Processes a departure that a target announced to this gateway. */
+  void onSeen(TargetId target) {
+    if (ledger.add(target, clock.nowMs())) {
+      log.write("target_leaving", "target={} source=answer", target);
+      applyChanges(List.of(target));
+      exchange.tellHolderAndDeputies(updateOf(List.of(target)));
+    }
+  }
+
+  /** Processes departures sent by another process. */
+  void onNews(DepartureNews update, Consumer<FleetMessage> sender) {
+    Set<TargetId> learned = new HashSet<>();
+    for (DepartureReport report : update.reports()) {
+      if (ledger.merge(report, clock.nowMs())) {
+        learned.add(report.target());
+        log.write("target_leaving", "target={} source=heard", report.target());
+      }
+    }
+    if (!learned.isEmpty()) {
+      applyChanges(learned);
+    }
+    if (update.complete()) {
+      exchange.onComplete(update, sender);
+    }
+  }
+
+  /** Applies changes and sends them to followers; only the holder of the term has followers. */
+  private void applyChanges(Collection<TargetId> changed) {
+    onChange.accept(ledger.targets());
+    peers.tellAll(updateOf(changed));
+  }
+
+  private DepartureNews updateOf(Collection<TargetId> targets) {
+    return new DepartureNews(false, ledger.reports(targets, clock.nowMs()));
+  }
+
+  /** Processes the digest of departures in the hello of another process. */
+  void onDigest(long digest, Consumer<FleetMessage> sender) {
+    exchange.onDigest(digest, sender);
+  }
+
+  /** Sets the addresses of the holder, empty if it is this gateway, and of its deputies. */
+  void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
+    exchange.onHolderAndDeputies(holderAddress, deputies);
+  }
+
+  /** Removes departures of targets that have not been registered for a long time. */
+  void forget(Predicate<TargetId> registered) {
+    if (ledger.forget(registered, clock.nowMs())) {
+      onChange.accept(ledger.targets());
+    }
+  }
+
+  @Override
+  public long digest() {
+    return ledger.digest();
+  }
+
+  @Override
+  public DepartureNews complete() {
+    return new DepartureNews(true, ledger.reports(ledger.targets(), clock.nowMs()));
+  }
+
+  @Override
+  public Optional<DepartureNews> missingFrom(DepartureNews received) {
+    Set<TargetId> missing = new HashSet<>(ledger.targets());
+    received.reports().forEach(report -> missing.remove(report.target()));
+    return missing.isEmpty() ? Optional.empty() : Optional.of(updateOf(missing));
+  }
+}
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashArchiveTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuarantineStoreTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class CrashArchiveTest {
+class QuarantineStoreTest {
 
   private final MemoryStore memory = new MemoryStore();
   private final ControlThread control = new ControlThread("test", FailureHandler.logging());
   private final DecisionLog log = new DecisionLog(() -> 0, 100, line -> {});
   private final List<CrashNews> read = new ArrayList<>();
-  private final CrashArchive first = archive(news -> {});
-  private final CrashArchive second = archive(read::add);
+  private final QuarantineStore first = quarantineStore(update -> {});
+  private final QuarantineStore second = quarantineStore(read::add);
 
   @AfterEach
   void tearDown() {
@@ -34,59 +34,59 @@
   }
 
   @Test
-  void theNextHolderReadsWhatTheLastOneKept() {
+  void nextHolderReadsStoredQuarantine() {
     run(first::open);
-    run(() -> first.keep(news(1)));
-    run(() -> first.keep(news(2)));
+    run(() -> first.persist(update(1)));
+    run(() -> first.persist(update(2)));
     run(second::open);
-    assertThat(read).containsExactly(news(2));
+    assertThat(read).containsExactly(update(2));
   }
 
   @Test
-  void whoeverHoldsNoTermWritesNothing() {
-    run(() -> first.keep(news(1)));
+  void gatewayWithoutTermWritesNothing() {
+    run(() -> first.persist(update(1)));
     run(first::open);
     run(first::close);
-    run(() -> first.keep(news(1)));
+    run(() -> first.persist(update(1)));
     run(second::open);
     assertThat(read).isEmpty();
   }
 
   @Test
-  void whatAnotherHolderWroteIsReadBeforeItIsReplaced() {
+  void valueOfAnotherHolderIsReadBeforeItIsReplaced() {
     run(first::open);
     run(second::open);
-    run(() -> first.keep(news(1)));
-    run(() -> second.keep(news(2)));
-    assertThat(read).containsExactly(news(1));
+    run(() -> first.persist(update(1)));
+    run(() -> second.persist(update(2)));
+    assertThat(read).containsExactly(update(1));
     run(second::open);
-    assertThat(read).containsExactly(news(1), news(2)).inOrder();
+    assertThat(read).containsExactly(update(1), update(2)).inOrder();
   }
 
   @Test
-  void theWriteWithoutAnAnswerIsLookedUp() {
+  void writeWithoutResponseIsReadBack() {
     run(second::open);
     memory.loseNextAnswer();
-    run(() -> second.keep(news(1)));
-    run(() -> second.keep(news(2)));
+    run(() -> second.persist(update(1)));
+    run(() -> second.persist(update(2)));
     run(second::open);
-    assertThat(read.get(read.size() - 1)).isEqualTo(news(2));
+    assertThat(read.get(read.size() - 1)).isEqualTo(update(2));
   }
 
   @Test
-  void whatCannotBeReadIsReplaced() {
-    memory.write(CrashArchive.KEY, new byte[] {1, 2}, KeyValueStore.ABSENT, Optional.empty());
+  void unreadableValueIsReplaced() {
+    memory.write(QuarantineStore.KEY, new byte[] {1, 2}, KeyValueStore.ABSENT, Optional.empty());
     run(second::open);
-    run(() -> second.keep(news(3)));
+    run(() -> second.persist(update(3)));
     run(second::open);
-    assertThat(read).containsExactly(news(3));
+    assertThat(read).containsExactly(update(3));
   }
 
-  private CrashArchive archive(Consumer<CrashNews> onRead) {
-    return new CrashArchive(memory, control, log, new RecordCodec(), onRead);
+  private QuarantineStore quarantineStore(Consumer<CrashNews> onRead) {
+    return new QuarantineStore(memory, control, log, new RecordCodec(), onRead);
   }
 
-  private static CrashNews news(int number) {
+  private static CrashNews update(int number) {
     RequestFingerprint fingerprint = new RequestFingerprint(number);
     TargetId target = new TargetId("core-" + number);
     return new CrashNews(
@@ -98,7 +98,7 @@
                 CrashReport.NOT_ANSWERED)));
   }
 
-  /** Runs a task on the control thread and all that follows from it. */
+  /** Runs a task and its follow-up tasks on the control thread. */
   private void run(Runnable task) {
     control.execute(task);
     for (int i = 0; i < 10; i++) {
