--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
@@ -116,7 +116,7 @@
     page.addGauge(
         "cuminvalve_keys_without_lease",
         "Keys of all services whose owner has no lease now.",
-        () -> state.current().closedKeys());
+        () -> state.current().keysWithoutLease());
     page.addGauge("cuminvalve_gateways", "Gateways that run.", () -> state.current().processes());
     page.addGauge(
         "cuminvalve_holds_term",
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -282,7 +282,7 @@
       crashes.onConfidants(Optional.empty(), subscribers.deputies());
       quotas.onConfidants(Optional.empty(), subscribers.deputies(), subscribers.count() + 1);
       departures.onConfidants(Optional.empty(), subscribers.deputies());
-      state.noteMoves(duties.get().termAgeMs() <= FRESH_MS, clock.nowMs());
+      state.setMovesPossible(duties.get().termAgeMs() <= FRESH_MS, clock.nowMs());
       subscribers.dropSilent(clock.nowMs(), pace.helloMs());
       updateProcesses();
       return;
@@ -368,7 +368,7 @@
   }
 
   private void reportKeyWork() {
-    reports.takeKeyWork().forEach(this::report);
+    reports.takeKeyLoad().forEach(this::report);
     reports.takeReplacedTargets().forEach(this::report);
     reportRests(reports.takeBegunRestsMs());
   }
@@ -431,7 +431,7 @@
     crashes.onConfidants(holderAddress, deputies.others());
     quotas.onConfidants(holderAddress, deputies.others(), Math.max(1, beat.processes()));
     departures.onConfidants(holderAddress, deputies.others());
-    state.noteMoves(beat.termAgeMs() <= FRESH_MS, clock.nowMs());
+    state.setMovesPossible(beat.termAgeMs() <= FRESH_MS, clock.nowMs());
     if (Math.max(beat.termAgeMs(), beat.configurationAgeMs()) <= FRESH_MS) {
       freshBeat = clock.upper();
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
@@ -42,7 +42,7 @@
 
   void start() {
     quotas.onLimit(targets -> control.execute(() -> desk.onSeen(targets)));
-    quotas.onAsk(request -> control.execute(() -> desk.ask(request)));
+    quotas.onQuotaRequest(request -> control.execute(() -> desk.ask(request)));
   }
 
   /** This gateway holds the term now. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/AttemptEnd.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.traffic;
 
 /** How an attempt at a target ended, as far as the choice of targets is concerned. */
-enum AttemptEnd {
+enum AttemptOutcome {
   /** The target answered a request that it ran. */
   ANSWERED,
   /** The target answered that it failed or did not run the request. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CallerAnswer.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CallerResponseWriter.java
@@ -14,7 +14,7 @@
  * <p>What a status promises: 503 says that the request has not run and never will; 502 and 504
  * promise nothing.
  */
-final class CallerAnswer {
+final class CallerResponseWriter {
 
   static final int NOT_FOUND = 404;
   static final int TOO_LARGE = 413;
@@ -25,7 +25,7 @@
 
   private static final double MS_PER_SECOND = 1000.0;
 
-  private CallerAnswer() {}
+  private CallerResponseWriter() {}
 
   /** Passes a target's answer on, whole. */
   static void relay(
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CrashWitness.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CrashDetector.java
@@ -19,7 +19,7 @@
  * ended: it refuses connections, or the registry has it no longer. One that accepts connections
  * lives, and what broke there is forgotten. Safe for use by several threads.
  */
-final class CrashWitness {
+final class CrashDetector {
 
   /** Other requests find out first, mostly, and spare the target a connection. */
   private static final long PROBE_DELAY_MS = 300;
@@ -38,7 +38,7 @@
   private volatile boolean pending;
   private volatile Consumer<List<BrokenAttempt>> onCrash = crashed -> {};
 
-  CrashWitness(RoutingState state, TargetProbe probe, Timers timers, MillisClock clock) {
+  CrashDetector(RoutingState state, TargetProbe probe, Timers timers, MillisClock clock) {
     this.state = state;
     this.probe = probe;
     this.timers = timers;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
@@ -71,7 +71,7 @@
   private final TargetQuotas quotas;
   private final TargetRests rests;
   private final Map<TargetId, TargetSlots> slotsByTarget = new HashMap<>();
-  private final Map<ServiceId, PriorityQueue<PlacementWish>> waiting = new HashMap<>();
+  private final Map<ServiceId, PriorityQueue<SlotRequest>> waiting = new HashMap<>();
   private final Map<String, Double> meanTimeByRouteMs = new HashMap<>();
   private final Map<String, Double> meanAnswerByRouteBytes = new HashMap<>();
   private final Set<TargetId> replaced = new HashSet<>();
@@ -97,7 +97,7 @@
   }
 
   /** Places a request now, or as soon as it can be; refuses one that waits in vain. */
-  void submit(PlacementWish wish) {
+  void submit(SlotRequest wish) {
     Optional<Slot> slot;
     Optional<TargetRefusal> refusal = Optional.empty();
     synchronized (this) {
@@ -116,7 +116,7 @@
   }
 
   /** Tells whether a request has to be refused at once: its owner cannot bear all of its kind. */
-  boolean turnsAway(PlacementWish wish) {
+  boolean shouldShed(SlotRequest wish) {
     if (wish.key().isEmpty()) {
       return false;
     }
@@ -133,13 +133,13 @@
   }
 
   /** Withdraws a request that waits. Tells whether it did. */
-  synchronized boolean withdraw(PlacementWish wish) {
-    PriorityQueue<PlacementWish> queue = waiting.get(wish.service());
+  synchronized boolean withdraw(SlotRequest wish) {
+    PriorityQueue<SlotRequest> queue = waiting.get(wish.service());
     return queue != null && queue.remove(wish);
   }
 
   /** Says why a request that waits cannot be placed, for the log. */
-  synchronized String whyWaiting(PlacementWish wish) {
+  synchronized String waitReason(SlotRequest wish) {
     RoutingSnapshot snapshot = state.current();
     if (wish.key().isEmpty()) {
       return snapshot.ready(wish.service()).isEmpty() ? "no_target" : "targets_busy";
@@ -163,7 +163,7 @@
   }
 
   /** Gives a slot back and learns from how the attempt went. */
-  void giveBack(Slot slot, PlacementWish wish, AttemptEnd end, long tookMs) {
+  void giveBack(Slot slot, SlotRequest wish, AttemptOutcome end, long tookMs) {
     synchronized (this) {
       TargetSlots slots = slotsOf(slot.target(), state.current());
       slots.giveBack();
@@ -205,7 +205,7 @@
     return meanTimeByRouteMs.getOrDefault(route, 0.0).longValue();
   }
 
-  private void learn(TargetSlots slots, String route, AttemptEnd end, long tookMs) {
+  private void learn(TargetSlots slots, String route, AttemptOutcome end, long tookMs) {
     switch (end) {
       case ANSWERED -> {
         double mean = meanTimeByRouteMs.getOrDefault(route, Math.max(1.0, tookMs));
@@ -220,7 +220,7 @@
     }
   }
 
-  private void learnSize(PlacementWish wish) {
+  private void learnSize(SlotRequest wish) {
     wish.answerBytes()
         .ifPresent(
             bytes ->
@@ -243,27 +243,27 @@
 
   /** Looks at those that wait once more, for example because a pause is over. */
   void serveWaiting(ServiceId service) {
-    Map<PlacementWish, Slot> placed = new HashMap<>();
-    Map<PlacementWish, TargetRefusal> refused = new HashMap<>();
+    Map<SlotRequest, Slot> placed = new HashMap<>();
+    Map<SlotRequest, TargetRefusal> refused = new HashMap<>();
     synchronized (this) {
-      PriorityQueue<PlacementWish> queue = waiting.get(service);
+      PriorityQueue<SlotRequest> queue = waiting.get(service);
       if (queue == null || queue.isEmpty()) {
         return;
       }
       placeFrom(queue, placed, refused);
     }
-    placed.forEach(PlacementWish::placed);
-    refused.forEach(PlacementWish::refused);
+    placed.forEach(SlotRequest::placed);
+    refused.forEach(SlotRequest::refused);
   }
 
   private void placeFrom(
-      PriorityQueue<PlacementWish> queue,
-      Map<PlacementWish, Slot> placed,
-      Map<PlacementWish, TargetRefusal> refused) {
+      PriorityQueue<SlotRequest> queue,
+      Map<SlotRequest, Slot> placed,
+      Map<SlotRequest, TargetRefusal> refused) {
     RoutingSnapshot snapshot = state.current();
-    List<PlacementWish> left = new ArrayList<>();
+    List<SlotRequest> left = new ArrayList<>();
     while (!queue.isEmpty()) {
-      PlacementWish wish = queue.poll();
+      SlotRequest wish = queue.poll();
       Optional<Slot> slot = tryPlace(wish, snapshot);
       Optional<TargetRefusal> refusal =
           slot.isPresent() ? Optional.empty() : refusalOf(wish, snapshot);
@@ -278,7 +278,7 @@
     queue.addAll(left);
   }
 
-  private Optional<Slot> tryPlace(PlacementWish wish, RoutingSnapshot snapshot) {
+  private Optional<Slot> tryPlace(SlotRequest wish, RoutingSnapshot snapshot) {
     Optional<FleetTarget> target =
         wish.key().isPresent() ? ownerOf(wish, snapshot) : bestOf(wish, snapshot);
     return target.map(
@@ -289,7 +289,7 @@
         });
   }
 
-  private Optional<FleetTarget> ownerOf(PlacementWish wish, RoutingSnapshot snapshot) {
+  private Optional<FleetTarget> ownerOf(SlotRequest wish, RoutingSnapshot snapshot) {
     if (!wish.accepts(snapshot.ownersVersion())) {
       return Optional.empty();
     }
@@ -298,7 +298,7 @@
         .filter(target -> quotas.take(target, wish.route().priority()));
   }
 
-  private static Optional<FleetTarget> usableOwnerOf(PlacementWish wish, RoutingSnapshot snapshot) {
+  private static Optional<FleetTarget> usableOwnerOf(SlotRequest wish, RoutingSnapshot snapshot) {
     return snapshot
         .owners(wish.service())
         .flatMap(owners -> owners.find(wish.key().getAsInt()))
@@ -308,7 +308,7 @@
   }
 
   /** Tells whether nothing that may run the request takes it before it would have waited long. */
-  private Optional<TargetRefusal> refusalOf(PlacementWish wish, RoutingSnapshot snapshot) {
+  private Optional<TargetRefusal> refusalOf(SlotRequest wish, RoutingSnapshot snapshot) {
     List<FleetTarget> targets =
         wish.key().isPresent()
             ? usableOwnerOf(wish, snapshot).stream().toList()
@@ -333,8 +333,8 @@
   }
 
   /** Nobody knows when the store answers again: the longer it has not, the later. */
-  private Optional<TargetRefusal> refusalOfStuckKey(PlacementWish wish, RoutingSnapshot snapshot) {
-    OptionalLong sinceMs = state.movesHeldUpSinceMs();
+  private Optional<TargetRefusal> refusalOfStuckKey(SlotRequest wish, RoutingSnapshot snapshot) {
+    OptionalLong sinceMs = state.movesBlockedSinceMs();
     if (wish.key().isEmpty() || sinceMs.isEmpty()) {
       return Optional.empty();
     }
@@ -359,13 +359,13 @@
         : quotas.refuse(target, priority);
   }
 
-  private static List<FleetTarget> untried(PlacementWish wish, RoutingSnapshot snapshot) {
+  private static List<FleetTarget> untried(SlotRequest wish, RoutingSnapshot snapshot) {
     List<FleetTarget> ready = snapshot.ready(wish.service());
     List<FleetTarget> left = ready.stream().filter(t -> !wish.tried().contains(t.id())).toList();
     return left.isEmpty() ? ready : left;
   }
 
-  private Optional<FleetTarget> bestOf(PlacementWish wish, RoutingSnapshot snapshot) {
+  private Optional<FleetTarget> bestOf(SlotRequest wish, RoutingSnapshot snapshot) {
     Set<TargetId> skipped = new HashSet<>(skippedBy(wish, snapshot));
     int priority = wish.route().priority();
     Optional<FleetTarget> best = cheapestOf(wish, skipped, snapshot);
@@ -377,7 +377,7 @@
   }
 
   private Optional<FleetTarget> cheapestOf(
-      PlacementWish wish, Set<TargetId> skipped, RoutingSnapshot snapshot) {
+      SlotRequest wish, Set<TargetId> skipped, RoutingSnapshot snapshot) {
     FleetTarget best = null;
     double bestCost = Double.MAX_VALUE;
     int priority = wish.route().priority();
@@ -397,13 +397,13 @@
     return Optional.ofNullable(best);
   }
 
-  private double remoteCost(PlacementWish wish) {
+  private double remoteCost(SlotRequest wish) {
     double answerBytes = meanAnswerByRouteBytes.getOrDefault(wish.route().name(), 0.0);
     return REMOTE_COST + (wish.bodyBytes() + answerBytes) / REMOTE_BYTES;
   }
 
   /** Targets tried before and those in a pause; none of them if there is no other. */
-  private Set<TargetId> skippedBy(PlacementWish wish, RoutingSnapshot snapshot) {
+  private Set<TargetId> skippedBy(SlotRequest wish, RoutingSnapshot snapshot) {
     long nowMs = clock.nowMs();
     Set<TargetId> skipped = new HashSet<>(wish.tried());
     boolean othersLeft = false;
@@ -444,15 +444,15 @@
   /** Returns how many requests wait. */
   synchronized int waitingCount() {
     int count = 0;
-    for (Iterator<PriorityQueue<PlacementWish>> i = waiting.values().iterator(); i.hasNext(); ) {
+    for (Iterator<PriorityQueue<SlotRequest>> i = waiting.values().iterator(); i.hasNext(); ) {
       count += i.next().size();
     }
     return count;
   }
 
-  private static PriorityQueue<PlacementWish> newQueue() {
+  private static PriorityQueue<SlotRequest> newQueue() {
     return new PriorityQueue<>(
-        Comparator.comparingInt((PlacementWish wish) -> wish.route().priority())
-            .thenComparingLong(PlacementWish::order));
+        Comparator.comparingInt((SlotRequest wish) -> wish.route().priority())
+            .thenComparingLong(SlotRequest::order));
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
@@ -21,11 +21,11 @@
  *
  * <p>Decisions are made under this object's monitor, effects are carried out without it.
  */
-final class GatewayExchange implements TargetAttempt.Listener, PlacementWish.Listener {
+final class GatewayExchange implements TargetAttempt.Listener, SlotRequest.Listener {
 
   private final ExchangeServices services;
   private final CallerRequest call;
-  private final PlacementWish wish;
+  private final SlotRequest wish;
   private final ExchangeMachine machine;
   private final Runnable onEnded;
 
@@ -39,8 +39,7 @@
     this.services = services;
     this.call = call;
     this.onEnded = onEnded;
-    this.wish =
-        new PlacementWish(call.route(), call.service(), call.key(), call.body().length, this);
+    this.wish = new SlotRequest(call.route(), call.service(), call.key(), call.body().length, this);
     this.machine = new ExchangeMachine(profileOf(call), this::takesBudget);
   }
 
@@ -63,7 +62,7 @@
     if (isRefused(services.quarantine().admit(call.identity()))) {
       return;
     }
-    boolean turnedAway = services.dispatcher().turnsAway(wish);
+    boolean turnedAway = services.dispatcher().shouldShed(wish);
     if (turnedAway) {
       countUnservedWork();
     }
@@ -75,7 +74,7 @@
     patience.cancel();
     slot = placed;
     if (isRefused(quarantinedForMs())) {
-      services.dispatcher().giveBack(placed, wish, AttemptEnd.GIVEN_UP, 0);
+      services.dispatcher().giveBack(placed, wish, AttemptOutcome.GIVEN_UP, 0);
     } else {
       decide(machine::onSlot);
     }
@@ -130,7 +129,7 @@
   private void onOutOfPatience() {
     if (services.dispatcher().withdraw(wish)) {
       countUnservedWork();
-      String reason = services.dispatcher().whyWaiting(wish);
+      String reason = services.dispatcher().waitReason(wish);
       decide(() -> machine.onNoSlot(reason));
     }
   }
@@ -200,7 +199,7 @@
     } else if (effect instanceof ExchangeEffect.Send) {
       send();
     } else if (effect instanceof ExchangeEffect.ReturnSlot) {
-      services.dispatcher().giveBack(slot, wish, AttemptEnd.GIVEN_UP, 0);
+      services.dispatcher().giveBack(slot, wish, AttemptOutcome.GIVEN_UP, 0);
     } else if (effect instanceof ExchangeEffect.AvoidTarget) {
       log("request_repeated", current, "elsewhere");
       wish.tried().add(current.target().id());
@@ -227,7 +226,7 @@
     if (begins) {
       attempt.start();
     } else {
-      services.dispatcher().giveBack(slot, wish, AttemptEnd.GIVEN_UP, 0);
+      services.dispatcher().giveBack(slot, wish, AttemptOutcome.GIVEN_UP, 0);
     }
   }
 
@@ -249,9 +248,12 @@
     if (last instanceof ExchangeEffect.Relay relay) {
       relay(relay.failed());
     } else if (last instanceof ExchangeEffect.Refuse refuse) {
-      answer(CallerAnswer.UNAVAILABLE, refuse.retryAfterMs(), refuse.reason());
+      answer(CallerResponseWriter.UNAVAILABLE, refuse.retryAfterMs(), refuse.reason());
     } else if (last instanceof ExchangeEffect.GiveUp giveUp) {
-      int status = giveUp.timedOut() ? CallerAnswer.GATEWAY_TIMEOUT : CallerAnswer.BAD_GATEWAY;
+      int status =
+          giveUp.timedOut()
+              ? CallerResponseWriter.GATEWAY_TIMEOUT
+              : CallerResponseWriter.BAD_GATEWAY;
       answer(status, 0, giveUp.reason());
     } else {
       count(RequestOutcome.CALLER_GONE);
@@ -269,7 +271,7 @@
     count(failed ? RequestOutcome.FAILED_AT_TARGET : RequestOutcome.ANSWERED);
     String event = failed ? "request_failed_at_target" : "request_served";
     log(event, current, "status_" + whole.status());
-    CallerAnswer.relay(
+    CallerResponseWriter.relay(
         call.response(),
         whole.status(),
         CallerHeaders.passedOn(whole.headers()),
@@ -282,7 +284,7 @@
     count(outcomeOf(status));
     services.metrics().onGivenUp(reason);
     log("request_given_up", current, "status=" + status + " reason=" + reason);
-    CallerAnswer.own(
+    CallerResponseWriter.own(
         call.response(),
         status,
         retryAfterMs,
@@ -310,8 +312,8 @@
 
   private static RequestOutcome outcomeOf(int status) {
     return switch (status) {
-      case CallerAnswer.UNAVAILABLE -> RequestOutcome.REFUSED;
-      case CallerAnswer.GATEWAY_TIMEOUT -> RequestOutcome.TIMED_OUT;
+      case CallerResponseWriter.UNAVAILABLE -> RequestOutcome.REFUSED;
+      case CallerResponseWriter.GATEWAY_TIMEOUT -> RequestOutcome.TIMED_OUT;
       default -> RequestOutcome.BROKEN;
     };
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayHandler.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayHandler.java
@@ -36,13 +36,13 @@
 
   private final ExchangeServices services;
   private final RandomGenerator random;
-  private final EarlyRequests early;
+  private final StartupRequestBuffer early;
   private final Set<EndPoint> busy = ConcurrentHashMap.newKeySet();
 
   GatewayHandler(ExchangeServices services, RandomGenerator random) {
     this.services = services;
     this.random = random;
-    this.early = new EarlyRequests(services.timers());
+    this.early = new StartupRequestBuffer(services.timers());
     services.state().onChange(this::onStateChange);
   }
 
@@ -75,7 +75,9 @@
       return true;
     }
     Runnable refusal =
-        () -> refuse(request, response, CallerAnswer.UNAVAILABLE, "no_configuration", callback);
+        () ->
+            refuse(
+                request, response, CallerResponseWriter.UNAVAILABLE, "no_configuration", callback);
     boolean held = early.hold(() -> go(request, response, callback, arrived), refusal);
     if (!held) {
       refusal.run();
@@ -111,11 +113,11 @@
       return;
     }
     if (services.clock().upper().sinceMs(arrived) >= timeMs(request, route.get())) {
-      refuse(request, response, CallerAnswer.UNAVAILABLE, "read_too_late", callback);
+      refuse(request, response, CallerResponseWriter.UNAVAILABLE, "read_too_late", callback);
       return;
     }
     if (request.getLength() > configuration.bounds().maxBodyBytes()) {
-      refuse(request, response, CallerAnswer.TOO_LARGE, "body_too_large", callback);
+      refuse(request, response, CallerResponseWriter.TOO_LARGE, "body_too_large", callback);
       return;
     }
     busy.add(endPointOf(request));
@@ -129,9 +131,10 @@
   /** What may be in force elsewhere is not denied here. */
   private void refuseUnknown(Request request, Response response, Callback callback) {
     if (services.state().isConfigurationCurrent(services.clock().upper())) {
-      refuse(request, response, CallerAnswer.NOT_FOUND, "no_route", callback);
+      refuse(request, response, CallerResponseWriter.NOT_FOUND, "no_route", callback);
     } else {
-      refuse(request, response, CallerAnswer.UNAVAILABLE, "configuration_outdated", callback);
+      refuse(
+          request, response, CallerResponseWriter.UNAVAILABLE, "configuration_outdated", callback);
     }
   }
 
@@ -174,7 +177,7 @@
       key = keyOf(request);
       if (key.isEmpty()) {
         busy.remove(endPointOf(request));
-        refuse(request, response, CallerAnswer.BAD_REQUEST, "no_key", callback);
+        refuse(request, response, CallerResponseWriter.BAD_REQUEST, "no_key", callback);
         return;
       }
     }
@@ -253,8 +256,8 @@
             request.getHttpURI().getPath(),
             status,
             reason);
-    long retryAfterMs = status == CallerAnswer.UNAVAILABLE ? RETRY_AFTER_MS : 0;
+    long retryAfterMs = status == CallerResponseWriter.UNAVAILABLE ? RETRY_AFTER_MS : 0;
     boolean closes = services.stopping().getAsBoolean();
-    CallerAnswer.own(response, status, retryAfterMs, closes, callback);
+    CallerResponseWriter.own(response, status, retryAfterMs, closes, callback);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayServer.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayServer.java
@@ -92,7 +92,7 @@
             new TargetClientLimits(
                 CONNECT_TIMEOUT_MS, TARGET_IDLE_MS, MAX_HEADER_BYTES, TARGET_THREADS, true),
             address -> Integer.MAX_VALUE);
-    KeyWorkMeter keyWork = new KeyWorkMeter();
+    KeyLoadMeter keyWork = new KeyLoadMeter();
     TargetQuotas quotas = new TargetQuotas(clock, log, timers, random.split());
     TargetRests rests = new TargetRests(clock, timers, random.split(), log);
     TargetDepartures departures = new TargetDepartures(state);
@@ -101,7 +101,7 @@
             state, new DataCentreId(settings.dataCentre()), clock, random.split(), quotas, rests);
     rests.onBegin(dispatcher::onRest);
     RequestQuarantine quarantine = new RequestQuarantine(clock);
-    CrashWitness witness = new CrashWitness(state, probe, timers, clock);
+    CrashDetector witness = new CrashDetector(state, probe, timers, clock);
     ExchangeServices services =
         new ExchangeServices(
             state,
@@ -112,7 +112,7 @@
             new SignalReader(answers, quotas, rests, departures, unknownFields, log),
             rests,
             client,
-            new RepeatBudgets(settings, clock),
+            new RetryBudgets(settings, clock),
             quarantine,
             witness,
             keyWork,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/KeyWorkMeter.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/KeyLoadMeter.java
@@ -12,7 +12,7 @@
  *
  * @since 0.2
  */
-public final class KeyWorkMeter {
+public final class KeyLoadMeter {
 
   private Map<ServiceId, ServiceWork> workByService = new HashMap<>();
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/KeyOwners.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/KeyOwners.java
@@ -50,7 +50,7 @@
    *
    * @return at least 0
    */
-  public int closedKeys() {
+  public int keysWithoutLease() {
     return ranges.stream()
         .filter(range -> !range.open())
         .mapToInt(range -> range.lastKey() - range.firstKey() + 1)
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ReadinessHandler.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ReadinessHandler.java
@@ -30,7 +30,8 @@
     }
     boolean known = path.equals(request.getHttpURI().getPath());
     int status = ready.getAsBoolean() ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503;
-    CallerAnswer.own(response, known ? status : HttpStatus.NOT_FOUND_404, 0, false, callback);
+    CallerResponseWriter.own(
+        response, known ? status : HttpStatus.NOT_FOUND_404, 0, false, callback);
     return true;
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RecentAnswers.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RecentResponses.java
@@ -11,7 +11,7 @@
  * make is therefore found, one that came once a while ago perhaps not. Safe for use by several
  * threads.
  */
-final class RecentAnswers {
+final class RecentResponses {
 
   /** A power of two; 64 KB. */
   private static final int PLACES = 4_096;
@@ -21,7 +21,7 @@
   private final long[] fingerprints = new long[PLACES];
   private final long[] answeredMs = new long[PLACES];
 
-  RecentAnswers() {
+  RecentResponses() {
     Arrays.fill(answeredMs, NEVER);
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestQuarantine.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestQuarantine.java
@@ -24,7 +24,7 @@
 
   private final MillisClock clock;
   private final Map<RequestFingerprint, Long> trialEndsMs = new HashMap<>();
-  private final RecentAnswers answers = new RecentAnswers();
+  private final RecentResponses answers = new RecentResponses();
   private final SuspectTrials suspects;
   private volatile Map<RequestFingerprint, Long> untilMs = Map.of();
   private volatile Set<RequestFingerprint> watched = Set.of();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RepeatBudgets.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RetryBudgets.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** The budgets for repeats, one for each service. Safe for use by several threads. */
-final class RepeatBudgets {
+final class RetryBudgets {
 
   /** Part of the budget that is used: gateways may be fewer or more than is known. */
   private static final double USED_SHARE = 0.6;
@@ -17,7 +17,7 @@
   private final MillisClock clock;
   private final Map<ServiceId, SharedRetryBudget> budgets = new HashMap<>();
 
-  RepeatBudgets(GatewaySettings settings, MillisClock clock) {
+  RetryBudgets(GatewaySettings settings, MillisClock clock) {
     this.settings = settings;
     this.clock = clock;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RoutingSnapshot.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RoutingSnapshot.java
@@ -201,8 +201,8 @@
    *
    * @return at least 0
    */
-  public int closedKeys() {
-    return owners.values().stream().mapToInt(KeyOwners::closedKeys).sum();
+  public int keysWithoutLease() {
+    return owners.values().stream().mapToInt(KeyOwners::keysWithoutLease).sum();
   }
 
   /**
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RoutingState.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RoutingState.java
@@ -19,7 +19,7 @@
   private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
   private volatile RoutingSnapshot snapshot;
   private volatile UpperTime targetsConfirmed = UpperTime.NEVER;
-  private volatile OptionalLong movesHeldUpSinceMs = OptionalLong.empty();
+  private volatile OptionalLong movesBlockedSinceMs = OptionalLong.empty();
   private volatile Supplier<UpperTime> configurationConfirmed = () -> UpperTime.NEVER;
   private volatile LongSupplier configurationMaxAgeMs = () -> 0;
   private volatile BooleanSupplier storeSilent = () -> false;
@@ -129,11 +129,11 @@
    * @param possible whether the store answers the holder of the term
    * @param nowMs the time; milliseconds
    */
-  public void noteMoves(boolean possible, long nowMs) {
+  public void setMovesPossible(boolean possible, long nowMs) {
     if (possible) {
-      movesHeldUpSinceMs = OptionalLong.empty();
-    } else if (movesHeldUpSinceMs.isEmpty()) {
-      movesHeldUpSinceMs = OptionalLong.of(nowMs);
+      movesBlockedSinceMs = OptionalLong.empty();
+    } else if (movesBlockedSinceMs.isEmpty()) {
+      movesBlockedSinceMs = OptionalLong.of(nowMs);
     }
   }
 
@@ -142,8 +142,8 @@
    *
    * @return a time of the clock, milliseconds; empty if keys can move
    */
-  public OptionalLong movesHeldUpSinceMs() {
-    return movesHeldUpSinceMs;
+  public OptionalLong movesBlockedSinceMs() {
+    return movesBlockedSinceMs;
   }
 
   /**
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/PlacementWish.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SlotRequest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** A request that wants a slot at a target. */
-final class PlacementWish {
+final class SlotRequest {
 
   /** Hears how it went, at most once for each time the wish is submitted. */
   interface Listener {
@@ -32,7 +32,7 @@
   private OwnersVersion placedUnder = OwnersVersion.NONE;
   private Optional<OwnersVersion> avoided = Optional.empty();
 
-  PlacementWish(Route route, ServiceId service, OptionalInt key, int bodyBytes, Listener listener) {
+  SlotRequest(Route route, ServiceId service, OptionalInt key, int bodyBytes, Listener listener) {
     this.route = route;
     this.service = service;
     this.key = key;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/EarlyRequests.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/StartupRequestBuffer.java
@@ -10,7 +10,7 @@
  * <p>A process that starts listens some 150 ms before it knows a configuration. Callers that are
  * refused meanwhile use up one of the few repeats that they make. Safe for use by several threads.
  */
-final class EarlyRequests {
+final class StartupRequestBuffer {
 
   /** A store that answers has told the configuration by then; longer waits help nobody. */
   private static final long HOLD_MS = 200;
@@ -22,7 +22,7 @@
   private List<Held> waiting = new ArrayList<>();
   private boolean known;
 
-  EarlyRequests(Timers timers) {
+  StartupRequestBuffer(Timers timers) {
     this.timers = timers;
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
@@ -51,7 +51,7 @@
 
   private final ExchangeServices services;
   private final CallerRequest call;
-  private final PlacementWish wish;
+  private final SlotRequest wish;
   private final Slot slot;
   private final int runsBefore;
   private final Listener listener;
@@ -59,7 +59,7 @@
   private final Handover handover = new Handover();
   private final AtomicBoolean released = new AtomicBoolean();
   private final AtomicBoolean ended = new AtomicBoolean();
-  private volatile AttemptEnd end = AttemptEnd.GIVEN_UP;
+  private volatile AttemptOutcome end = AttemptOutcome.GIVEN_UP;
   private volatile long sentMs;
 
   /** What forbade it to send the first byte. */
@@ -68,7 +68,7 @@
   TargetAttempt(
       ExchangeServices services,
       CallerRequest call,
-      PlacementWish wish,
+      SlotRequest wish,
       Slot slot,
       int runsBefore,
       Listener listener) {
@@ -173,7 +173,7 @@
     }
     if (signals.notExecuted()) {
       noteOtherTarget(signals);
-      end = AttemptEnd.FAILED;
+      end = AttemptOutcome.FAILED;
       if (ended.compareAndSet(false, true)) {
         listener.onNotExecuted(this, answer.status());
       }
@@ -181,7 +181,7 @@
     }
     services.witness().onAlive(slot.target().id(), sentMs);
     boolean failed = answer.status() >= FIRST_ERROR_STATUS;
-    end = failed ? AttemptEnd.FAILED : AttemptEnd.ANSWERED;
+    end = failed ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
     if (!failed) {
       services.quarantine().onAnswer(call.identity());
     }
@@ -229,7 +229,7 @@
     if (obstacle.isPresent()) {
       listener.onStopped(this, obstacle.get());
     } else {
-      end = AttemptEnd.NO_ANSWER;
+      end = AttemptOutcome.NO_ANSWER;
       listener.onFailure(this, mayHaveRun, reason);
     }
   }
@@ -237,7 +237,7 @@
   /** Counts an attempt that was given up because the target did not answer in time. */
   void onTooLate() {
     if (obstacle.isEmpty()) {
-      end = AttemptEnd.NO_ANSWER;
+      end = AttemptOutcome.NO_ANSWER;
     }
   }
 
@@ -245,7 +245,7 @@
   public void onReleased() {
     if (released.compareAndSet(false, true)) {
       long tookMs = services.clock().nowMs() - sentMs;
-      if (call.key().isPresent() && end != AttemptEnd.GIVEN_UP) {
+      if (call.key().isPresent() && end != AttemptOutcome.GIVEN_UP) {
         services.keyWork().add(call.service(), call.key().getAsInt(), tookMs);
       }
       services.dispatcher().giveBack(slot, wish, end, tookMs);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetQuotas.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetQuotas.java
@@ -47,7 +47,7 @@
   private int gateways = UNKNOWN_GATEWAYS;
   private volatile boolean anyLimit;
   private volatile Consumer<List<TargetId>> onLimit = targets -> {};
-  private volatile Consumer<QuotaRequest> onAsk = request -> {};
+  private volatile Consumer<QuotaRequest> onQuotaRequest = request -> {};
   private volatile Consumer<ServiceId> onUsable = service -> {};
 
   TargetQuotas(MillisClock clock, DecisionLog log, Timers timers, RandomGenerator random) {
@@ -71,8 +71,8 @@
    *
    * @param listener called on any thread; must not block; not null
    */
-  public void onAsk(Consumer<QuotaRequest> listener) {
-    onAsk = listener;
+  public void onQuotaRequest(Consumer<QuotaRequest> listener) {
+    onQuotaRequest = listener;
   }
 
   /** Sets who looks again at the requests that wait for a target of a service. */
@@ -263,7 +263,7 @@
 
   /** Requests wait for the answer; if none comes, they have to be looked at again. */
   private void ask(QuotaRequest request, ServiceId service) {
-    onAsk.accept(request);
+    onQuotaRequest.accept(request);
     timers.schedule(() -> onUsable.accept(service), QuotaShare.ANSWER_MS + 1);
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
@@ -15,22 +15,22 @@
  */
 public final class TrafficReports {
 
-  private final KeyWorkMeter keyWork;
+  private final KeyLoadMeter keyWork;
   private final Dispatcher dispatcher;
   private final TargetQuotas quotas;
   private final TargetRests rests;
   private final TargetDepartures departures;
   private final RequestQuarantine quarantine;
-  private final CrashWitness witness;
+  private final CrashDetector witness;
 
   TrafficReports(
-      KeyWorkMeter keyWork,
+      KeyLoadMeter keyWork,
       Dispatcher dispatcher,
       TargetQuotas quotas,
       TargetRests rests,
       TargetDepartures departures,
       RequestQuarantine quarantine,
-      CrashWitness witness) {
+      CrashDetector witness) {
     this.keyWork = keyWork;
     this.dispatcher = dispatcher;
     this.quotas = quotas;
@@ -81,7 +81,7 @@
    *
    * @return never null
    */
-  public List<FleetMessage> takeKeyWork() {
+  public List<FleetMessage> takeKeyLoad() {
     return new ArrayList<>(keyWork.take());
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
@@ -375,7 +375,7 @@
     busy.state.watch(clock::upper, () -> 1_900, () -> false);
     busy.state.confirmTargets(clock.upper());
     assertThat(busy.traffic.sendsTo(A)).isTrue();
-    busy.traffic.hearLeaving(A);
+    busy.traffic.receiveLeavingSignal(A);
     clock.advance(DRAIN_MS + 1);
     busy.state.confirmTargets(clock.upper());
     assertWithMessage("sent 2,001 ms after the target said here that it leaves")
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
@@ -14,7 +14,7 @@
 import io.cuminvalve.gateway.RequestHeaders;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import io.cuminvalve.gateway.traffic.RoutingState;
-import io.cuminvalve.gateway.traffic.SendingGateway;
+import io.cuminvalve.gateway.traffic.TrafficFixture;
 import io.cuminvalve.kernel.ControlThread;
 import io.cuminvalve.kernel.FailureHandler;
 import io.cuminvalve.kernel.UpperTime;
@@ -47,7 +47,7 @@
   private static final String OWN = "10.0.0.9:1";
 
   final RoutingState state = new RoutingState(2);
-  final SendingGateway traffic;
+  final TrafficFixture traffic;
   final FleetLink link;
   private final VirtualClock clock;
   private final ControlThread control;
@@ -77,7 +77,7 @@
     this.clock = clock;
     this.control =
         new ControlThread("test", FailureHandler.logging(), new VirtualExecutor(controlClock));
-    this.traffic = new SendingGateway(state, clock);
+    this.traffic = new TrafficFixture(state, clock);
     DecisionLog log = new DecisionLog(clock, 100, line -> lines.add(clock.nowMs() + " " + line));
     GatewayPorts ports =
         new GatewayPorts(
@@ -135,7 +135,7 @@
 
   static FleetTarget target(TargetId id, TargetPhase phase) {
     return new FleetTarget(
-        id, SendingGateway.SERVICE, "127.0.0.1:9", SendingGateway.HERE, 4, phase, 0);
+        id, TrafficFixture.SERVICE, "127.0.0.1:9", TrafficFixture.HERE, 4, phase, 0);
   }
 
   private static GatewaySettings settings(boolean firstStart) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
@@ -183,7 +183,7 @@
               new SplittableRandom(random.nextLong()));
       this.desk = new QuotaDesk("gateway-" + index, traffic.quotas(), this, () -> nowMs);
       traffic.quotas().onLimit(desk::onSeen);
-      traffic.quotas().onAsk(desk::ask);
+      traffic.quotas().onQuotaRequest(desk::ask);
       traffic.onUsable(service -> lookAgain());
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CallerThatLeftTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CallerDisconnectTest.java
@@ -2,8 +2,8 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.cuminvalve.gateway.traffic.LateGateway.Call;
 import io.cuminvalve.gateway.traffic.RawTarget.Arrival;
+import io.cuminvalve.gateway.traffic.StallableGateway.Call;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -18,7 +18,7 @@
  * <p>Time is virtual; the time limit only ends a build that would wait for ever.
  */
 @Timeout(value = 20, unit = TimeUnit.SECONDS, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class CallerThatLeftTest {
+class CallerDisconnectTest {
 
   /** Several, since a thread that reads the close may win against the one that sends. */
   private static final int CALLERS = 20;
@@ -27,12 +27,12 @@
   private static final long LONG_GONE_MS = 2_000;
 
   private RawTarget target;
-  private LateGateway gateway;
+  private StallableGateway gateway;
 
   @BeforeEach
   void setUp() throws Exception {
     target = new RawTarget();
-    gateway = new LateGateway(target);
+    gateway = new StallableGateway(target);
   }
 
   @AfterEach
@@ -83,7 +83,7 @@
     for (int i = 0; i < CALLERS; i++) {
       calls.add(gateway.connect().sendPart("gone-" + i, DEADLINE_MS, 4, "bo"));
     }
-    LateGateway.await(() -> gateway.inFlight() == CALLERS);
+    StallableGateway.await(() -> gateway.inFlight() == CALLERS);
     gateway.holdCallerThreads();
     for (Call call : calls) {
       call.write("dy").close();
@@ -99,9 +99,9 @@
   void requestsOfCallersThatLeftWithinTheirBodyReachNoTarget() throws Exception {
     gateway.configure().warm(1);
     Call call = gateway.connect().sendPart("gone-0", DEADLINE_MS, 4, "bo");
-    LateGateway.await(() -> gateway.inFlight() == 1);
+    StallableGateway.await(() -> gateway.inFlight() == 1);
     call.close();
-    LateGateway.await(() -> gateway.inFlight() == 0);
+    StallableGateway.await(() -> gateway.inFlight() == 0);
     gateway.settle();
     assertThat(arrivalsOfGone()).isEmpty();
   }
@@ -112,7 +112,7 @@
     for (int i = 0; i < CALLERS; i++) {
       gateway.connect().send("gone-" + i, "/files/", DEADLINE_MS).close();
     }
-    LateGateway.await(() -> gateway.readings() >= CALLERS);
+    StallableGateway.await(() -> gateway.readings() >= CALLERS);
     gateway.pass(LONG_GONE_MS);
     gateway.configure();
     gateway.settle();
@@ -124,12 +124,12 @@
   void requestsThatWaitForConnectionsReachNoTargetIfTheCloseIsUnread() throws Exception {
     gateway.configure().holdSends();
     Call call = gateway.connect().send("gone-0", "/files/", DEADLINE_MS);
-    LateGateway.await(() -> gateway.sendsHeld() == 1);
+    StallableGateway.await(() -> gateway.sendsHeld() == 1);
     gateway.holdCallerThreads();
     call.close();
     gateway.pass(LONG_GONE_MS);
     gateway.freeSends();
-    LateGateway.await(
+    StallableGateway.await(
         () -> gateway.hasLogged("event=send_stopped id=gone-0") || target.arrivalsOf("gone-0") > 0);
     gateway.freeCallerThreads();
     gateway.settle();
@@ -141,11 +141,11 @@
   void requestsReachNoTargetIfTheCloseLiesBehindLongPipelinedRequests() throws Exception {
     gateway.configure().holdSends();
     Call call = gateway.connect().send("gone-0", "/files/", DEADLINE_MS);
-    LateGateway.await(() -> gateway.sendsHeld() == 1);
+    StallableGateway.await(() -> gateway.sendsHeld() == 1);
     call.write("GET /files/ HTTP/1.1\r\nHost: h.example\r\nX-Long: " + "x".repeat(8_000)).close();
     gateway.pass(LONG_GONE_MS);
     gateway.freeSends();
-    LateGateway.await(
+    StallableGateway.await(
         () ->
             gateway.hasLogged("event=send_stopped id=gone-0")
                 || target.arrivalsOf("gone-0") > 0
@@ -159,9 +159,9 @@
   void requestsThatWaitForConnectionsReachNoTargetIfTheCloseIsRead() throws Exception {
     gateway.configure().holdSends();
     Call call = gateway.connect().send("gone-0", "/files/", DEADLINE_MS);
-    LateGateway.await(() -> gateway.sendsHeld() == 1);
+    StallableGateway.await(() -> gateway.sendsHeld() == 1);
     call.close();
-    LateGateway.await(() -> gateway.inFlight() == 0);
+    StallableGateway.await(() -> gateway.inFlight() == 0);
     gateway.freeSends();
     gateway.settle();
     assertThat(arrivalsOfGone()).isEmpty();
@@ -173,12 +173,12 @@
     gateway.configure().warm(2);
     String id = RawTarget.REFUSED_LATE + 0;
     Call call = gateway.connect().send(id, "/files/", DEADLINE_MS);
-    LateGateway.await(() -> target.arrivalsOf(id) == 1);
+    StallableGateway.await(() -> target.arrivalsOf(id) == 1);
     gateway.holdCallerThreads();
     call.close();
     gateway.pass(LONG_GONE_MS);
     target.answerWaiting();
-    LateGateway.await(() -> gateway.hasLogged("event=request_refused_by_target id=" + id));
+    StallableGateway.await(() -> gateway.hasLogged("event=request_refused_by_target id=" + id));
     gateway.freeCallerThreads();
     gateway.settle();
     assertThat(target.arrivalsOf(id)).isEqualTo(1);
@@ -190,9 +190,9 @@
     gateway.configure().warm(1);
     String id = RawTarget.REFUSED_LATE + 0;
     Call call = gateway.connect().send(id, "/files/", DEADLINE_MS);
-    LateGateway.await(() -> target.arrivalsOf(id) == 1);
+    StallableGateway.await(() -> target.arrivalsOf(id) == 1);
     call.close();
-    LateGateway.await(() -> gateway.inFlight() == 0);
+    StallableGateway.await(() -> gateway.inFlight() == 0);
     target.answerWaiting();
     gateway.settle();
     assertThat(target.arrivalsOf(id)).isEqualTo(1);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CrashWitnessTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CrashDetectorTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A connection that breaks is no crash by itself. */
-class CrashWitnessTest {
+class CrashDetectorTest {
 
   private static final TargetId TARGET_ID = new TargetId("core-1");
   private static final FleetTarget TARGET =
@@ -37,13 +37,13 @@
   private final List<String> crashed = new ArrayList<>();
   private TargetProbe.Finding finding = TargetProbe.Finding.SILENT;
   private int probes;
-  private CrashWitness witness;
+  private CrashDetector witness;
 
   @BeforeEach
   void setUp() {
     state.update(snapshot -> snapshot.withTargets(List.of(TARGET)));
     witness =
-        new CrashWitness(
+        new CrashDetector(
             state,
             (address, onDone) -> {
               probes++;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/DispatcherTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/DispatcherTest.java
@@ -83,11 +83,11 @@
   @Test
   void largeAnswersStayLikeLargeBodies() {
     targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
-    PlacementWish first = submit("download", 1, OptionalInt.empty());
+    SlotRequest first = submit("download", 1, OptionalInt.empty());
     submit("download", 1, OptionalInt.empty());
     assertThat(slots.get(1).target().id()).isEqualTo(FAR);
     first.answered(100_000);
-    dispatcher.giveBack(slots.get(0), first, AttemptEnd.ANSWERED, 100);
+    dispatcher.giveBack(slots.get(0), first, AttemptOutcome.ANSWERED, 100);
     submit("download", 1, OptionalInt.empty());
     submit("download", 1, OptionalInt.empty());
     assertThat(slots.get(2).target().id()).isEqualTo(NEAR);
@@ -98,9 +98,9 @@
   void theOwnerOfTheKeyGetsItAsSoonAsItHasItsLease() {
     targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
     owner(FAR, false);
-    PlacementWish wish = submit("one", 1, OptionalInt.of(7));
+    SlotRequest wish = submit("one", 1, OptionalInt.of(7));
     assertThat(placed).isEmpty();
-    assertThat(dispatcher.whyWaiting(wish)).isEqualTo("key_on_the_move");
+    assertThat(dispatcher.waitReason(wish)).isEqualTo("key_on_the_move");
     owner(FAR, true);
     assertThat(slots.get(0).target().id()).isEqualTo(FAR);
   }
@@ -110,11 +110,11 @@
     targets(target(NEAR, HERE, TargetPhase.READY));
     owner(NEAR, true);
     fill();
-    PlacementWish late = submit("late", 2, OptionalInt.of(7));
+    SlotRequest late = submit("late", 2, OptionalInt.of(7));
     submit("urgent", 0, OptionalInt.of(7));
-    assertThat(dispatcher.whyWaiting(late)).isEqualTo("owner_busy");
+    assertThat(dispatcher.waitReason(late)).isEqualTo("owner_busy");
     int before = placed.size();
-    dispatcher.giveBack(slots.get(0), late, AttemptEnd.GIVEN_UP, 0);
+    dispatcher.giveBack(slots.get(0), late, AttemptOutcome.GIVEN_UP, 0);
     assertThat(placed.subList(before, placed.size())).containsExactly("urgent");
   }
 
@@ -133,7 +133,7 @@
   @Test
   void whoIsWithdrawnIsNotPlacedAnyMore() {
     targets(target(NEAR, HERE, TargetPhase.READY));
-    PlacementWish wish = submit("one", 1, OptionalInt.of(7));
+    SlotRequest wish = submit("one", 1, OptionalInt.of(7));
     assertThat(dispatcher.withdraw(wish)).isTrue();
     assertThat(dispatcher.withdraw(wish)).isFalse();
     owner(NEAR, true);
@@ -145,13 +145,13 @@
     targets(target(NEAR, HERE, TargetPhase.READY));
     KeyOwners owners = new KeyOwners(List.of(new RangeRoute(0, 65_535, NEAR, true, 40)));
     state.update(s -> s.withOwners(Map.of(SERVICE, owners), new OwnersVersion(1, 1)));
-    PlacementWish keyed = wish("one", 1, OptionalInt.of(7), 0);
+    SlotRequest keyed = wish("one", 1, OptionalInt.of(7), 0);
     int turnedAway = 0;
     for (int i = 0; i < 1_000; i++) {
-      turnedAway += dispatcher.turnsAway(keyed) ? 1 : 0;
+      turnedAway += dispatcher.shouldShed(keyed) ? 1 : 0;
     }
     assertThat(turnedAway).isIn(Range.closed(340, 460));
-    assertThat(dispatcher.turnsAway(wish("two", 1, OptionalInt.empty(), 0))).isFalse();
+    assertThat(dispatcher.shouldShed(wish("two", 1, OptionalInt.empty(), 0))).isFalse();
   }
 
   @Test
@@ -278,13 +278,13 @@
     state.update(snapshot -> snapshot.withLeaving(Set.of(NEAR)));
     submit("waits for the move", 1, OptionalInt.of(7));
     assertThat(refused).isEmpty();
-    state.noteMoves(false, nowMs);
+    state.setMovesPossible(false, nowMs);
     nowMs += 2_000;
-    state.noteMoves(false, nowMs);
+    state.setMovesPossible(false, nowMs);
     submit("cannot move", 1, OptionalInt.of(7));
     assertThat(refused.get("cannot move").cause()).isEqualTo(TargetRefusal.Cause.STUCK_KEY);
     assertThat(refused.get("cannot move").retryAfterMs()).isEqualTo(2_000);
-    state.noteMoves(true, nowMs);
+    state.setMovesPossible(true, nowMs);
     submit("may move again", 1, OptionalInt.of(7));
     assertThat(refused).doesNotContainKey("may move again");
   }
@@ -295,7 +295,7 @@
   }
 
   private void limit(TargetId target, String perS) {
-    quotas.onAsk(questions::add);
+    quotas.onQuotaRequest(questions::add);
     nowMs++;
     quotas.onAnswer(target, OptionalDouble.of(Double.parseDouble(perS)), nowMs);
   }
@@ -307,17 +307,17 @@
     }
   }
 
-  private PlacementWish submit(String name, int priority, OptionalInt key) {
+  private SlotRequest submit(String name, int priority, OptionalInt key) {
     return submit(name, priority, key, 0);
   }
 
-  private PlacementWish submit(String name, int priority, OptionalInt key, int bodyBytes) {
-    PlacementWish wish = wish(name, priority, key, bodyBytes);
+  private SlotRequest submit(String name, int priority, OptionalInt key, int bodyBytes) {
+    SlotRequest wish = wish(name, priority, key, bodyBytes);
     dispatcher.submit(wish);
     return wish;
   }
 
-  private PlacementWish wish(String name, int priority, OptionalInt key, int bodyBytes) {
+  private SlotRequest wish(String name, int priority, OptionalInt key, int bodyBytes) {
     Route route =
         new Route(
             name,
@@ -329,12 +329,12 @@
             priority,
             List.of(new WeightedService(SERVICE, 1)),
             2);
-    return new PlacementWish(
+    return new SlotRequest(
         route,
         SERVICE,
         key,
         bodyBytes,
-        new PlacementWish.Listener() {
+        new SlotRequest.Listener() {
           @Override
           public void onPlaced(Slot slot) {
             placed.add(name);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/LateGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/StallableGateway.java
@@ -42,7 +42,7 @@
  *
  * <p>What waits meanwhile is where it really waits: in sockets and queues.
  */
-final class LateGateway implements AutoCloseable {
+final class StallableGateway implements AutoCloseable {
 
   /** The longest that a caller is kept waiting; virtual time. */
   static final long ROUTE_TIMEOUT_MS = 120_000;
@@ -67,7 +67,7 @@
   private final CountDownLatch sendsFreed = new CountDownLatch(1);
   private volatile boolean sendsAreHeld;
 
-  LateGateway(RawTarget target) {
+  StallableGateway(RawTarget target) {
     this.target = target;
     DecisionLog log = new DecisionLog(clock, Integer.MAX_VALUE, this::onLine);
     RequestMetrics metrics = new RequestMetrics();
@@ -112,7 +112,7 @@
   }
 
   /** Makes the route known, and the target under two names, so that requests can be repeated. */
-  LateGateway configure() {
+  StallableGateway configure() {
     Route route =
         new Route(
             "files",
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/EarlyRequestsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/StartupRequestBufferTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class EarlyRequestsTest {
+class StartupRequestBufferTest {
 
   private final List<Runnable> scheduled = new ArrayList<>();
   private final List<String> calls = new ArrayList<>();
@@ -16,7 +16,7 @@
         scheduled.add(task);
         return () -> {};
       };
-  private final EarlyRequests early = new EarlyRequests(timers);
+  private final StartupRequestBuffer early = new StartupRequestBuffer(timers);
 
   @Test
   void heldRequestsGoOnOnceTheConfigurationIsKnown() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetAttemptTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetAttemptTest.java
@@ -18,9 +18,9 @@
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final RoutingState state = new RoutingState(1);
-  private final SendingGateway gateway = new SendingGateway(state, clock);
+  private final TrafficFixture gateway = new TrafficFixture(state, clock);
 
-  private SendingGateway.Placed placed() {
+  private TrafficFixture.Placed placed() {
     state.update(snapshot -> snapshot.withTargets(List.of(target(TargetPhase.READY))));
     state.confirmTargets(clock.upper());
     return gateway.place().orElseThrow();
@@ -28,7 +28,7 @@
 
   @Test
   void requestsBeginAtTargetsThatAreReady() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isTrue();
   }
@@ -36,7 +36,7 @@
   /** Guards against a request that begins though its target was seen to leave meanwhile. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatDrain() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     state.update(snapshot -> snapshot.withTargets(List.of(target(TargetPhase.DRAINING))));
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isFalse();
@@ -45,7 +45,7 @@
   /** Guards against a request that begins though its target has said meanwhile that it leaves. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatSaidTheyLeave() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     state.update(snapshot -> snapshot.withLeaving(Set.of(A)));
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isFalse();
@@ -54,7 +54,7 @@
   /** Guards against a request that begins though its target is gone from the registry meanwhile. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatAreGone() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     state.update(snapshot -> snapshot.withTargets(List.of()));
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isFalse();
@@ -63,7 +63,7 @@
   /** Guards against a request that begins though another target was found at the address. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatWereReplaced() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     gateway.onReplaced(A);
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isFalse();
@@ -75,7 +75,7 @@
    */
   @Test
   void repeatsThatBecameSuspectMeanwhileDoNotBegin() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     gateway.suspectRequests();
     clock.advance(CONNECT_MS);
     assertThat(waiting.beginsAfter(1)).isFalse();
@@ -84,6 +84,6 @@
 
   private static FleetTarget target(TargetPhase phase) {
     return new FleetTarget(
-        A, SendingGateway.SERVICE, "127.0.0.1:9", SendingGateway.HERE, 4, phase, 0);
+        A, TrafficFixture.SERVICE, "127.0.0.1:9", TrafficFixture.HERE, 4, phase, 0);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/SendingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TrafficFixture.java
@@ -35,7 +35,7 @@
 import org.eclipse.jetty.server.Request;
 
 /** The traffic of a gateway up to the first byte of a request, without sockets. */
-public final class SendingGateway {
+public final class TrafficFixture {
 
   public static final ServiceId SERVICE = new ServiceId("core");
   public static final DataCentreId HERE = new DataCentreId("here");
@@ -67,7 +67,7 @@
   private final TrafficReports reports;
 
   /** Creates the traffic of a gateway; its timers never run. */
-  public SendingGateway(RoutingState state, MillisClock clock) {
+  public TrafficFixture(RoutingState state, MillisClock clock) {
     this.clock = clock;
     state.update(snapshot -> snapshot.withConfiguration(CONFIGURATION));
     state.watch(clock::upper, () -> 1_900, () -> false);
@@ -76,9 +76,9 @@
     TargetQuotas quotas = new TargetQuotas(clock, log, timers, new SplittableRandom(1));
     TargetRests rests = new TargetRests(clock, timers, new SplittableRandom(2), log);
     TargetDepartures departures = new TargetDepartures(state);
-    KeyWorkMeter keyWork = new KeyWorkMeter();
+    KeyLoadMeter keyWork = new KeyLoadMeter();
     this.quarantine = new RequestQuarantine(clock);
-    CrashWitness witness = new CrashWitness(state, null, timers, clock);
+    CrashDetector witness = new CrashDetector(state, null, timers, clock);
     this.dispatcher = new Dispatcher(state, HERE, clock, new SplittableRandom(3), quotas, rests);
     this.services =
         new ExchangeServices(
@@ -120,7 +120,7 @@
   }
 
   /** An answer of a target says that it leaves; on a thread of the traffic. */
-  public void hearLeaving(TargetId target) {
+  public void receiveLeavingSignal(TargetId target) {
     TargetSignals signals =
         new TargetSignals(
             Optional.empty(),
@@ -154,13 +154,13 @@
   }
 
   /** A request that has a slot at a target and waits for its connection. */
-  public final class Placed implements PlacementWish.Listener {
+  public final class Placed implements SlotRequest.Listener {
 
-    private final PlacementWish wish;
+    private final SlotRequest wish;
     private Slot slot;
 
     Placed() {
-      wish = new PlacementWish(ROUTE, SERVICE, OptionalInt.empty(), 0, this);
+      wish = new SlotRequest(ROUTE, SERVICE, OptionalInt.empty(), 0, this);
     }
 
     @Override
@@ -178,7 +178,7 @@
 
     /** Gives its slot back. */
     public void giveBack() {
-      dispatcher.giveBack(slot, wish, AttemptEnd.GIVEN_UP, 0);
+      dispatcher.giveBack(slot, wish, AttemptOutcome.GIVEN_UP, 0);
     }
 
     /** Its connection is there: tells whether its first byte goes out. */
@@ -230,7 +230,7 @@
   private static <T> T standIn(Class<T> type, Map<String, Object> answers) {
     return type.cast(
         Proxy.newProxyInstance(
-            SendingGateway.class.getClassLoader(),
+            TrafficFixture.class.getClassLoader(),
             new Class<?>[] {type},
             (proxy, method, arguments) -> answers.get(method.getName())));
   }
