--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeMachine.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeMachine.java
@@ -129,7 +129,7 @@
    * @param retryAfterMs when the first rest is over; milliseconds
    * @return what to do; never null
    */
-  public List<ExchangeEffect> onResting(long retryAfterMs) {
+  public List<ExchangeEffect> onTargetBackingOff(long retryAfterMs) {
     return done ? List.of() : end(RESTING, retryAfterMs);
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetSignals.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetSignals.java
@@ -15,8 +15,8 @@
  * @param limitPerS the requests a second that it takes from all gateways together; empty if it
  *     names no limit
  * @param leaving whether it is about to end
- * @param restMs for how long it wants no request from this gateway; milliseconds, above 0; empty if
- *     it asks for no rest
+ * @param backoffMs for how long it wants no request from this gateway; milliseconds, above 0; empty
+ *     if it asks for no rest
  * @param unreadable which of these it says in a way that cannot be read; not null
  * @param unknownFields names of header fields that nobody reads; not null
  * @since 0.2
@@ -27,7 +27,7 @@
     Optional<String> answeringTarget,
     OptionalDouble limitPerS,
     boolean leaving,
-    OptionalLong restMs,
+    OptionalLong backoffMs,
     Set<Kind> unreadable,
     List<String> unknownFields) {
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetRest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetBackoff.java
@@ -9,4 +9,4 @@
  * @param leftMs how long still; milliseconds, at least 0
  * @since 0.2
  */
-public record TargetRest(TargetId target, long leftMs) {}
+public record TargetBackoff(TargetId target, long leftMs) {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetRestsReport.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetBackoffsReport.java
@@ -9,10 +9,11 @@
  * @param rests the targets that it leaves alone; not null
  * @since 0.2
  */
-public record TargetRestsReport(String process, List<TargetRest> rests) implements FleetMessage {
+public record TargetBackoffsReport(String process, List<TargetBackoff> rests)
+    implements FleetMessage {
 
   /** Copies the list. */
-  public TargetRestsReport {
+  public TargetBackoffsReport {
     rests = List.copyOf(rests);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -16,9 +16,9 @@
 import io.cuminvalve.core.protocol.RoutesChange;
 import io.cuminvalve.core.protocol.RoutesPush;
 import io.cuminvalve.core.protocol.ServiceRanges;
+import io.cuminvalve.core.protocol.TargetBackoff;
+import io.cuminvalve.core.protocol.TargetBackoffsReport;
 import io.cuminvalve.core.protocol.TargetReplaced;
-import io.cuminvalve.core.protocol.TargetRest;
-import io.cuminvalve.core.protocol.TargetRestsReport;
 import io.cuminvalve.core.protocol.TargetTimesReport;
 import io.cuminvalve.core.protocol.TargetsChange;
 import io.cuminvalve.core.protocol.TargetsPush;
@@ -253,7 +253,7 @@
     } else if (message instanceof KeyLoadReport
         || message instanceof TargetTimesReport
         || message instanceof TargetReplaced
-        || message instanceof TargetRestsReport) {
+        || message instanceof TargetBackoffsReport) {
       duties.ifPresent(d -> d.onReport(message));
     } else if (message instanceof FleetBeat beat) {
       onBeat(sender, beat);
@@ -370,19 +370,19 @@
   private void reportKeyWork() {
     reports.takeKeyLoad().forEach(this::report);
     reports.takeReplacedTargets().forEach(this::report);
-    reportRests(reports.takeBegunRestsMs());
+    reportBackoffs(reports.takeStartedBackoffsMs());
   }
 
   private void reportTargetTimes() {
     report(reports.takeTargetTimes());
-    reportRests(reports.restsMs());
+    reportBackoffs(reports.backoffsMs());
   }
 
-  private void reportRests(Map<TargetId, Long> leftMs) {
+  private void reportBackoffs(Map<TargetId, Long> leftMs) {
     if (!leftMs.isEmpty()) {
-      List<TargetRest> rests = new ArrayList<>();
-      leftMs.forEach((target, restMs) -> rests.add(new TargetRest(target, restMs)));
-      report(new TargetRestsReport(settings.process(), rests));
+      List<TargetBackoff> rests = new ArrayList<>();
+      leftMs.forEach((target, backoffMs) -> rests.add(new TargetBackoff(target, backoffMs)));
+      report(new TargetBackoffsReport(settings.process(), rests));
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
@@ -14,8 +14,8 @@
 import io.cuminvalve.core.protocol.LeasesLeft;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.core.protocol.ServiceRanges;
+import io.cuminvalve.core.protocol.TargetBackoffsReport;
 import io.cuminvalve.core.protocol.TargetReplaced;
-import io.cuminvalve.core.protocol.TargetRestsReport;
 import io.cuminvalve.core.protocol.TargetTime;
 import io.cuminvalve.core.protocol.TargetTimesReport;
 import io.cuminvalve.core.route.RoutingConfiguration;
@@ -209,7 +209,7 @@
       times.times().forEach(this::onTargetTime);
     } else if (report instanceof TargetReplaced replaced) {
       onReplacedTarget(replaced.target());
-    } else if (report instanceof TargetRestsReport rests) {
+    } else if (report instanceof TargetBackoffsReport rests) {
       resting.onReport(rests);
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingOwners.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingOwners.java
@@ -1,8 +1,8 @@
 package io.cuminvalve.gateway.control;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.TargetRest;
-import io.cuminvalve.core.protocol.TargetRestsReport;
+import io.cuminvalve.core.protocol.TargetBackoff;
+import io.cuminvalve.core.protocol.TargetBackoffsReport;
 import io.cuminvalve.kernel.MillisClock;
 import java.util.HashMap;
 import java.util.Map;
@@ -15,7 +15,7 @@
 final class RestingOwners {
 
   /** A rest that is over sooner costs callers less than moving the keys. */
-  private static final long SHORT_REST_MS = 500;
+  private static final long SHORT_BACKOFF_MS = 500;
 
   /** A target that has turned so many gateways away turns the others away, too. */
   private static final int ENOUGH_GATEWAYS = 3;
@@ -30,10 +30,10 @@
   }
 
   /** A gateway leaves targets alone. */
-  void onReport(TargetRestsReport report) {
+  void onReport(TargetBackoffsReport report) {
     dropOver();
-    for (TargetRest rest : report.rests()) {
-      if (rest.leftMs() > SHORT_REST_MS) {
+    for (TargetBackoff rest : report.rests()) {
+      if (rest.leftMs() > SHORT_BACKOFF_MS) {
         endsMs
             .computeIfAbsent(rest.target(), id -> new HashMap<>())
             .put(report.process(), clock.nowMs() + rest.leftMs());
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
@@ -59,7 +59,7 @@
   private static final long MOST_STUCK_MS = 5_000;
 
   /** Requests wait for the end of a rest that is shorter. */
-  private static final long SHORT_REST_MS = 50;
+  private static final long SHORT_BACKOFF_MS = 50;
 
   /** Weight of the newest answer in the mean time of a route. */
   private static final double NEWEST = 0.05;
@@ -69,7 +69,7 @@
   private final MillisClock clock;
   private final RandomGenerator random;
   private final TargetQuotas quotas;
-  private final TargetRests rests;
+  private final TargetBackoffs rests;
   private final Map<TargetId, TargetSlots> slotsByTarget = new HashMap<>();
   private final Map<ServiceId, PriorityQueue<SlotRequest>> waiting = new HashMap<>();
   private final Map<String, Double> meanTimeByRouteMs = new HashMap<>();
@@ -84,7 +84,7 @@
       MillisClock clock,
       RandomGenerator random,
       TargetQuotas quotas,
-      TargetRests rests) {
+      TargetBackoffs rests) {
     this.state = state;
     this.dataCentre = dataCentre;
     this.clock = clock;
@@ -174,9 +174,9 @@
   }
 
   /** A target has asked for rest: afterwards it gets one request first, then slowly more. */
-  void onRest(FleetTarget target) {
+  void onBackoff(FleetTarget target) {
     synchronized (this) {
-      slotsOf(target, state.current()).onRest();
+      slotsOf(target, state.current()).onBackoff();
     }
     serveWaiting(target.service());
   }
@@ -347,15 +347,16 @@
   }
 
   private long refusedForMs(TargetId target, int priority) {
-    long restMs = rests.leftMs(target);
+    long backoffMs = rests.leftMs(target);
     return Math.max(
-        restMs > SHORT_REST_MS ? restMs : 0, quotas.refusedForMs(target, priority).orElse(0));
+        backoffMs > SHORT_BACKOFF_MS ? backoffMs : 0,
+        quotas.refusedForMs(target, priority).orElse(0));
   }
 
   private TargetRefusal refuse(TargetId target, int priority) {
-    long restMs = rests.leftMs(target);
-    return restMs > SHORT_REST_MS
-        ? TargetRefusal.forRest(target, restMs)
+    long backoffMs = rests.leftMs(target);
+    return backoffMs > SHORT_BACKOFF_MS
+        ? TargetRefusal.forBackoff(target, backoffMs)
         : quotas.refuse(target, priority);
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ExchangeServices.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ExchangeServices.java
@@ -38,7 +38,7 @@
     TargetDepartures departures,
     TargetQuotas quotas,
     SignalReader signals,
-    TargetRests rests,
+    TargetBackoffs rests,
     TargetClient client,
     RetryBudgets budgets,
     RequestQuarantine quarantine,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
@@ -87,7 +87,7 @@
     switch (refusal.cause()) {
       case REST -> {
         logRefusal("request_held_off", refusal, "");
-        decide(() -> machine.onResting(refusal.retryAfterMs()));
+        decide(() -> machine.onTargetBackingOff(refusal.retryAfterMs()));
       }
       case STUCK_KEY -> {
         logRefusal("request_key_stuck", refusal, "");
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayServer.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayServer.java
@@ -94,12 +94,12 @@
             address -> Integer.MAX_VALUE);
     KeyLoadMeter keyWork = new KeyLoadMeter();
     TargetQuotas quotas = new TargetQuotas(clock, log, timers, random.split());
-    TargetRests rests = new TargetRests(clock, timers, random.split(), log);
+    TargetBackoffs rests = new TargetBackoffs(clock, timers, random.split(), log);
     TargetDepartures departures = new TargetDepartures(state);
     Dispatcher dispatcher =
         new Dispatcher(
             state, new DataCentreId(settings.dataCentre()), clock, random.split(), quotas, rests);
-    rests.onBegin(dispatcher::onRest);
+    rests.onBegin(dispatcher::onBackoff);
     RequestQuarantine quarantine = new RequestQuarantine(clock);
     CrashDetector witness = new CrashDetector(state, probe, timers, clock);
     ExchangeServices services =
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SignalReader.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SignalReader.java
@@ -17,7 +17,7 @@
 
   private final AnswerDecoder decoder;
   private final TargetQuotas quotas;
-  private final TargetRests rests;
+  private final TargetBackoffs rests;
   private final TargetDepartures departures;
   private final UnknownFields unknownFields;
   private final DecisionLog log;
@@ -25,7 +25,7 @@
   SignalReader(
       AnswerDecoder decoder,
       TargetQuotas quotas,
-      TargetRests rests,
+      TargetBackoffs rests,
       TargetDepartures departures,
       UnknownFields unknownFields,
       DecisionLog log) {
@@ -61,6 +61,6 @@
     if (signals.leaving()) {
       departures.onLeaving(target);
     }
-    signals.restMs().ifPresent(restMs -> rests.ask(answering, restMs));
+    signals.backoffMs().ifPresent(backoffMs -> rests.ask(answering, backoffMs));
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetRests.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetBackoffs.java
@@ -21,7 +21,7 @@
  * is measured by the clock that never counts more time than has passed. Safe for use by several
  * threads.
  */
-final class TargetRests {
+final class TargetBackoffs {
 
   /** Bounds the memory, also if every target of a large fleet asks for rest. */
   static final int MOST_TARGETS = 1_024;
@@ -37,11 +37,11 @@
   private final DecisionLog log;
   private final Map<TargetId, Long> endsMs = new HashMap<>();
   private final Set<TargetId> begun = new HashSet<>();
-  private volatile boolean anyRest;
+  private volatile boolean anyBackoff;
   private volatile Consumer<FleetTarget> onBegin = target -> {};
   private volatile Consumer<ServiceId> onOver = service -> {};
 
-  TargetRests(MillisClock clock, Timers timers, RandomGenerator random, DecisionLog log) {
+  TargetBackoffs(MillisClock clock, Timers timers, RandomGenerator random, DecisionLog log) {
     this.clock = clock;
     this.timers = timers;
     this.random = random;
@@ -62,15 +62,15 @@
    * A target has asked for rest.
    *
    * @param target the run of the target; not null
-   * @param restMs for how long; milliseconds, above 0
+   * @param backoffMs for how long; milliseconds, above 0
    */
-  void ask(FleetTarget target, long restMs) {
-    long mostSpreadMs = 1 + (long) Math.min(LONGEST_SPREAD_MS, SPREAD * restMs);
+  void ask(FleetTarget target, long backoffMs) {
+    long mostSpreadMs = 1 + (long) Math.min(LONGEST_SPREAD_MS, SPREAD * backoffMs);
     boolean begins;
     long leftMs;
     synchronized (this) {
       long nowMs = clock.nowMs();
-      leftMs = restMs + random.nextLong(mostSpreadMs);
+      leftMs = backoffMs + random.nextLong(mostSpreadMs);
       Long beforeMs = endsMs.get(target.id());
       begins = beforeMs == null || beforeMs <= nowMs;
       if (begins) {
@@ -78,7 +78,7 @@
       }
       endsMs.merge(target.id(), nowMs + leftMs, Math::max);
       dropFirstToEnd();
-      anyRest = true;
+      anyBackoff = true;
     }
     if (begins) {
       log.write("target_rest", "target={} rest_ms={}", target.id(), leftMs);
@@ -111,7 +111,7 @@
 
   /** Tells for how long a target is still left alone; milliseconds, 0 if it is not. */
   long leftMs(TargetId target) {
-    if (!anyRest) {
+    if (!anyBackoff) {
       return 0;
     }
     synchronized (this) {
@@ -135,7 +135,7 @@
   synchronized Map<TargetId, Long> all() {
     long nowMs = clock.nowMs();
     endsMs.values().removeIf(endMs -> endMs <= nowMs);
-    anyRest = !endsMs.isEmpty();
+    anyBackoff = !endsMs.isEmpty();
     Map<TargetId, Long> leftMs = new HashMap<>();
     endsMs.forEach((target, endMs) -> leftMs.put(target, endMs - nowMs));
     return leftMs;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetRefusal.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetRefusal.java
@@ -30,7 +30,7 @@
     return new TargetRefusal(target, Cause.STUCK_KEY, 0, retryAfterMs);
   }
 
-  static TargetRefusal forRest(TargetId target, long retryAfterMs) {
+  static TargetRefusal forBackoff(TargetId target, long retryAfterMs) {
     return new TargetRefusal(target, Cause.REST, 0, retryAfterMs);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
@@ -101,7 +101,7 @@
   }
 
   /** The target has asked for rest. */
-  void onRest() {
+  void onBackoff() {
     limit = 1;
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
@@ -18,7 +18,7 @@
   private final KeyLoadMeter keyWork;
   private final Dispatcher dispatcher;
   private final TargetQuotas quotas;
-  private final TargetRests rests;
+  private final TargetBackoffs rests;
   private final TargetDepartures departures;
   private final RequestQuarantine quarantine;
   private final CrashDetector witness;
@@ -27,7 +27,7 @@
       KeyLoadMeter keyWork,
       Dispatcher dispatcher,
       TargetQuotas quotas,
-      TargetRests rests,
+      TargetBackoffs rests,
       TargetDepartures departures,
       RequestQuarantine quarantine,
       CrashDetector witness) {
@@ -90,7 +90,7 @@
    *
    * @return what is left of them; milliseconds by target; never null
    */
-  public Map<TargetId, Long> takeBegunRestsMs() {
+  public Map<TargetId, Long> takeStartedBackoffsMs() {
     return rests.takeBegun();
   }
 
@@ -99,7 +99,7 @@
    *
    * @return milliseconds by target; never null
    */
-  public Map<TargetId, Long> restsMs() {
+  public Map<TargetId, Long> backoffsMs() {
     return rests.all();
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingOwnersTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingOwnersTest.java
@@ -3,8 +3,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.TargetRest;
-import io.cuminvalve.core.protocol.TargetRestsReport;
+import io.cuminvalve.core.protocol.TargetBackoff;
+import io.cuminvalve.core.protocol.TargetBackoffsReport;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -18,7 +18,7 @@
 
   private void report(int gateway, TargetId target, long leftMs) {
     resting.onReport(
-        new TargetRestsReport("gateway-" + gateway, List.of(new TargetRest(target, leftMs))));
+        new TargetBackoffsReport("gateway-" + gateway, List.of(new TargetBackoff(target, leftMs))));
   }
 
   @Test
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/DispatcherTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/DispatcherTest.java
@@ -47,8 +47,8 @@
             return () -> scheduled.remove(task);
           },
           new SplittableRandom(2));
-  private final TargetRests rests =
-      new TargetRests(
+  private final TargetBackoffs rests =
+      new TargetBackoffs(
           () -> nowMs,
           (task, delayMs) -> {
             scheduled.add(task);
@@ -289,9 +289,9 @@
     assertThat(refused).doesNotContainKey("may move again");
   }
 
-  private void rest(TargetId target, long restMs) {
-    rests.onBegin(dispatcher::onRest);
-    rests.ask(target(target, HERE, TargetPhase.READY), restMs);
+  private void rest(TargetId target, long backoffMs) {
+    rests.onBegin(dispatcher::onBackoff);
+    rests.ask(target(target, HERE, TargetPhase.READY), backoffMs);
   }
 
   private void limit(TargetId target, String perS) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetRestsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetBackoffsTest.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class TargetRestsTest {
+class TargetBackoffsTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
 
@@ -22,8 +22,8 @@
   private final List<Runnable> scheduled = new ArrayList<>();
   private final List<ServiceId> over = new ArrayList<>();
   private final List<TargetId> begun = new ArrayList<>();
-  private final TargetRests rests =
-      new TargetRests(
+  private final TargetBackoffs rests =
+      new TargetBackoffs(
           () -> nowMs,
           (task, delayMs) -> {
             scheduled.add(task);
@@ -73,9 +73,9 @@
 
   @Test
   void memoryIsBounded() {
-    for (int i = 0; i < TargetRests.MOST_TARGETS + 100; i++) {
+    for (int i = 0; i < TargetBackoffs.MOST_TARGETS + 100; i++) {
       rests.ask(target("t" + i), 10_000 + i);
     }
-    assertThat(rests.all()).hasSize(TargetRests.MOST_TARGETS);
+    assertThat(rests.all()).hasSize(TargetBackoffs.MOST_TARGETS);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TrafficFixture.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TrafficFixture.java
@@ -74,7 +74,7 @@
     DecisionLog log = new DecisionLog(clock, 1, line -> {});
     Timers timers = (task, delayMs) -> () -> {};
     TargetQuotas quotas = new TargetQuotas(clock, log, timers, new SplittableRandom(1));
-    TargetRests rests = new TargetRests(clock, timers, new SplittableRandom(2), log);
+    TargetBackoffs rests = new TargetBackoffs(clock, timers, new SplittableRandom(2), log);
     TargetDepartures departures = new TargetDepartures(state);
     KeyLoadMeter keyWork = new KeyLoadMeter();
     this.quarantine = new RequestQuarantine(clock);
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerMessageTypes.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerMessageTypes.java
@@ -51,8 +51,8 @@
 import io.cuminvalve.core.protocol.ShardsOpened;
 import io.cuminvalve.core.protocol.TablePush;
 import io.cuminvalve.core.protocol.TableRequest;
+import io.cuminvalve.core.protocol.TargetBackoffsReport;
 import io.cuminvalve.core.protocol.TargetReplaced;
-import io.cuminvalve.core.protocol.TargetRestsReport;
 import io.cuminvalve.core.protocol.TargetTimesReport;
 import io.cuminvalve.core.protocol.TargetsChange;
 import io.cuminvalve.core.protocol.TargetsPush;
@@ -126,7 +126,7 @@
           type(53, QuotaReply.class),
           type(54, TrialRequest.class),
           type(55, TrialPermit.class),
-          type(56, TargetRestsReport.class),
+          type(56, TargetBackoffsReport.class),
           type(57, DepartureNews.class));
 
   private PeerMessageTypes() {}
