--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/AttemptOutcome.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/AttemptOutcome.java
@@ -1,13 +1,13 @@
 package io.cuminvalve.gateway.traffic;
 
-/** How an attempt at a target ended, as far as the choice of targets is concerned. */
+/** The outcome of an attempt at a target, as far as it matters for the choice of targets. */
 enum AttemptOutcome {
-  /** The target answered a request that it ran. */
+  /** The target ran the request and responded. */
   ANSWERED,
-  /** The target answered that it failed or did not run the request. */
+  /** The target responded that it failed or did not run the request. */
   FAILED,
-  /** No connection, or it broke, or nothing came in time. */
+  /** The connection could not be opened or broke, or no response came in time. */
   NO_ANSWER,
-  /** It ended for a reason that says nothing of the target. */
+  /** The attempt ended for a reason that says nothing about the target. */
   GIVEN_UP
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/BrokenAttempt.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/BrokenAttempt.java
@@ -5,20 +5,20 @@
 import io.cuminvalve.core.quarantine.RequestIdentity;
 
 /**
- * A request that a target was running when its connection broke.
+ * A request that a target may have been running when its connection broke.
  *
- * @param attemptId the caller's id of it; not null
- * @param identity by what the request is recognised when it comes again; not null
+ * @param attemptId the caller's id for the attempt; not null
+ * @param identity identifies repetitions of the request; not null
  * @param target the run of the target; not null
- * @param sentMs when it was sent; a time of the clock; milliseconds
- * @param endedMs when the connection broke, or the request was given up; milliseconds
+ * @param sentMs when it was sent; a time of the clock in milliseconds
+ * @param endedMs when the connection broke or the request was abandoned; milliseconds
  * @since 0.2
  */
 public record BrokenAttempt(
     String attemptId, RequestIdentity identity, TargetId target, long sentMs, long endedMs) {
 
   /**
-   * Returns what it says once the target is known to have ended.
+   * Returns the crash that this attempt stands for if the target is known to have ended.
    *
    * @return never null
    */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CallerGoneException.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CallerGoneException.java
@@ -2,13 +2,13 @@
 
 import java.io.IOException;
 
-/** The caller closed its connection before it had its answer. */
+/** Signals that the caller closed its connection before it received its response. */
 final class CallerGoneException extends IOException {
 
   private static final long serialVersionUID = 1L;
 
   CallerGoneException() {
-    super("the caller is gone");
+    super("the caller closed its connection");
   }
 
   @Override
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CallerRequest.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CallerRequest.java
@@ -14,22 +14,22 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * A request of a caller, read whole.
+ * A request of a caller that has been read completely.
  *
  * @param request the server's request; not null
  * @param response the server's response; not null
- * @param callback ends the exchange; not null
- * @param attemptId the caller's id for it; empty if it sent none; not null
- * @param route its route; not null
- * @param service where it goes; not null
- * @param key its key, if the service has keys; not null
- * @param identity by what it is recognised when it comes again; not null
- * @param headers the header fields to pass on; not null
+ * @param callback completes the exchange; not null
+ * @param attemptId the caller's id for the request; empty if it sent none; not null
+ * @param route the matching route; not null
+ * @param service the service that the request is sent to; not null
+ * @param key the key of the request; empty if the service has no keys; not null
+ * @param identity identifies repetitions of the request; not null
+ * @param headers the header fields to forward; not null
  * @param body the body; empty if there is none; not null
- * @param arrivedMs the earliest time at which it may have arrived; milliseconds
- * @param deadlineMs by when it has to be answered; milliseconds
- * @param deadline the same by the clock that counts no less time than has passed; not null
- * @param configurationVersion the version of the configuration by which it was routed
+ * @param arrivedMs the earliest time at which the request may have arrived; milliseconds
+ * @param deadlineMs the time by which it has to be answered; milliseconds
+ * @param deadline the deadline by the clock that never runs behind the elapsed time; not null
+ * @param configurationVersion the version of the configuration that routed the request
  */
 record CallerRequest(
     Request request,
@@ -47,7 +47,7 @@
     UpperTime deadline,
     long configurationVersion) {
 
-  /** Calls back once if the caller closes its connection before the answer. */
+  /** Calls back once if the caller closes its connection before the response. */
   void watchCaller(Runnable onGone) {
     request.addFailureListener(failure -> onGone.run());
     EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Looks whether the caller's connection is open, also if nobody has been told of its end yet. */
+  /** Checks whether the caller's connection is open, even if its end has not been reported yet. */
   boolean isCallerPresent() {
     EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
     return endPoint instanceof CallerEndPoint watched
@@ -64,7 +64,7 @@
         : endPoint.isOpen();
   }
 
-  /** Returns the host that the caller named, in lower case; empty if it named none. */
+  /** Returns the requested host name in lower case; empty if there is none. */
   String host() {
     return hostOf(request);
   }
@@ -74,7 +74,7 @@
     return host == null ? "" : host.toLowerCase(Locale.ROOT);
   }
 
-  /** Ends the watch, since the answer is about to be written. */
+  /** Stops watching the caller's connection before the response is written. */
   void unwatchCaller() {
     EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
     if (endPoint instanceof CallerEndPoint watched) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CallerResponseWriter.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CallerResponseWriter.java
@@ -9,10 +9,10 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes the one final answer to a caller.
+ * Writes the final response to a caller.
  *
- * <p>What a status promises: 503 says that the request has not run and never will; 502 and 504
- * promise nothing.
+ * <p>Status 503 guarantees that the request did not run and never will; 502 and 504 guarantee
+ * nothing.
  */
 final class CallerResponseWriter {
 
@@ -27,36 +27,40 @@
 
   private CallerResponseWriter() {}
 
-  /** Passes a target's answer on, whole. */
+  /** Relays the complete response of a target. */
   static void relay(
       Response response,
       int status,
       HttpFields headers,
       byte[] body,
-      boolean closes,
+      boolean closeConnection,
       Callback callback) {
     response.setStatus(status);
     response.getHeaders().add(headers);
-    closeIf(response, closes);
+    setConnectionClose(response, closeConnection);
     response.getHeaders().put(HttpHeader.CONTENT_LENGTH, body.length);
     response.write(true, ByteBuffer.wrap(body), callback);
   }
 
-  /** Answers without a target. */
-  static void own(
-      Response response, int status, long retryAfterMs, boolean closes, Callback callback) {
+  /** Writes a response without a body that comes from this gateway, not from a target. */
+  static void writeEmpty(
+      Response response,
+      int status,
+      long retryAfterMs,
+      boolean closeConnection,
+      Callback callback) {
     response.setStatus(status);
     if (retryAfterMs > 0) {
       String seconds = String.format(Locale.ROOT, "%.2f", retryAfterMs / MS_PER_SECOND);
       response.getHeaders().put(HttpHeader.RETRY_AFTER, seconds);
     }
-    closeIf(response, closes);
+    setConnectionClose(response, closeConnection);
     response.getHeaders().put(HttpHeader.CONTENT_LENGTH, 0);
     response.write(true, null, callback);
   }
 
-  private static void closeIf(Response response, boolean closes) {
-    if (closes) {
+  private static void setConnectionClose(Response response, boolean closeConnection) {
+    if (closeConnection) {
       response.getHeaders().put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ConnectProbe.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ConnectProbe.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Probes targets one after the other, on a thread that exists only while there are probes. */
+/** Probes targets one at a time, on a thread that exists only while there are probes. */
 final class ConnectProbe implements TargetProbe, AutoCloseable {
 
-  /** More targets than this do not end at one moment but with a data centre. */
-  private static final int MOST_WAITING = 64;
+  /** More targets than this end at once only if a whole data centre fails. */
+  private static final int MAX_QUEUED = 64;
 
   private static final int IDLE_SECONDS = 5;
 
@@ -30,7 +30,7 @@
             1,
             IDLE_SECONDS,
             TimeUnit.SECONDS,
-            new ArrayBlockingQueue<>(MOST_WAITING),
+            new ArrayBlockingQueue<>(MAX_QUEUED),
             NamedThreads.daemon("probe"));
     executor.allowCoreThreadTimeOut(true);
   }
@@ -38,14 +38,14 @@
   @Override
   public void probe(String address, Consumer<Finding> onDone) {
     try {
-      executor.execute(() -> onDone.accept(look(address)));
+      executor.execute(() -> onDone.accept(tryConnect(address)));
     } catch (RejectedExecutionException tooMany) {
-      // The registry will tell, later.
+      // The registry reports the end of the target later.
       onDone.accept(Finding.SILENT);
     }
   }
 
-  private Finding look(String address) {
+  private Finding tryConnect(String address) {
     int colon = address.lastIndexOf(':');
     InetSocketAddress to =
         new InetSocketAddress(
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CrashDetector.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/CrashDetector.java
@@ -12,30 +12,30 @@
 import java.util.function.Consumer;
 
 /**
- * Finds out which requests targets were running when they ended.
+ * Detects which requests a target was running when it ended.
  *
- * <p>A connection that breaks says little: answers get lost and networks reset connections while
- * the target lives. So a broken attempt counts only once the run of the target is known to have
- * ended: it refuses connections, or the registry has it no longer. One that accepts connections
- * lives, and what broke there is forgotten. Safe for use by several threads.
+ * <p>A broken connection alone is no evidence: responses get lost and networks reset connections
+ * while the target is alive. A broken attempt counts as a crash only if the run of the target is
+ * known to have ended, because it refuses connections or is no longer registered. If the target
+ * still accepts connections, its broken attempts are discarded. Thread-safe.
  */
 final class CrashDetector {
 
-  /** Other requests find out first, mostly, and spare the target a connection. */
+  /** Other requests usually reveal the state of the target earlier, which saves a connection. */
   private static final long PROBE_DELAY_MS = 300;
 
-  /** An entry of the registry outlives its target by less, also while the store is slow. */
-  private static final long REMEMBERED_MS = 8_000;
+  /** A registry entry outlives its target by less than this, even while the store is slow. */
+  private static final long RETENTION_MS = 8_000;
 
-  /** Requests that all targets of a fleet of usual width run for one gateway. */
-  private static final int MOST_ATTEMPTS = 256;
+  /** Number of requests that all targets of a typical fleet run for one gateway. */
+  private static final int MAX_ATTEMPTS = 256;
 
   private final RoutingState state;
   private final TargetProbe probe;
   private final Timers timers;
   private final MillisClock clock;
-  private final Map<TargetId, List<BrokenAttempt>> unclear = new HashMap<>();
-  private volatile boolean pending;
+  private final Map<TargetId, List<BrokenAttempt>> unresolved = new HashMap<>();
+  private volatile boolean anyUnresolved;
   private volatile Consumer<List<BrokenAttempt>> onCrash = crashed -> {};
 
   CrashDetector(RoutingState state, TargetProbe probe, Timers timers, MillisClock clock) {
@@ -46,46 +46,47 @@
     state.onChange(this::onRoutingChanged);
   }
 
-  /** Sets who is told of requests under which a target ended, on any thread. */
+  /** Sets the listener for requests during which a target ended; called on any thread. */
   void onCrash(Consumer<List<BrokenAttempt>> listener) {
     onCrash = listener;
   }
 
-  /** A target was running a request when the connection broke. */
+  /** Records that the connection to a target broke while it was running a request. */
   void onBroken(BrokenAttempt attempt, FleetTarget target) {
     boolean first;
     synchronized (this) {
-      dropOld();
-      if (unclear.values().stream().mapToInt(List::size).sum() >= MOST_ATTEMPTS) {
+      discardExpired();
+      if (unresolved.values().stream().mapToInt(List::size).sum() >= MAX_ATTEMPTS) {
         return;
       }
-      List<BrokenAttempt> attempts = unclear.computeIfAbsent(target.id(), id -> new ArrayList<>());
+      List<BrokenAttempt> attempts =
+          unresolved.computeIfAbsent(target.id(), id -> new ArrayList<>());
       first = attempts.isEmpty();
       attempts.add(attempt);
-      pending = true;
+      anyUnresolved = true;
     }
     if (first) {
       timers.schedule(() -> probe(target), PROBE_DELAY_MS);
     }
   }
 
-  /** A target answered a request that was sent at a time: it lived then. */
+  /** Discards attempts that ended before the target was sent a request that it then answered. */
   void onAlive(TargetId target, long sentMs) {
-    if (!pending) {
+    if (!anyUnresolved) {
       return;
     }
     synchronized (this) {
-      List<BrokenAttempt> attempts = unclear.get(target);
+      List<BrokenAttempt> attempts = unresolved.get(target);
       if (attempts != null) {
         attempts.removeIf(attempt -> attempt.endedMs() <= sentMs);
-        dropOld();
+        discardExpired();
       }
     }
   }
 
-  /** The run of a target is over: nobody listens at its address, or another one does. */
+  /** Reports the broken attempts of a target that has ended, or was replaced at its address. */
   void onEnded(TargetId target) {
-    if (!pending) {
+    if (!anyUnresolved) {
       return;
     }
     List<BrokenAttempt> attempts = take(target);
@@ -97,7 +98,7 @@
   private void probe(FleetTarget target) {
     boolean needed;
     synchronized (this) {
-      needed = unclear.containsKey(target.id());
+      needed = unresolved.containsKey(target.id());
     }
     if (needed) {
       probe.probe(target.address(), finding -> onProbed(target.id(), finding));
@@ -113,27 +114,27 @@
   }
 
   private synchronized List<BrokenAttempt> take(TargetId target) {
-    List<BrokenAttempt> attempts = unclear.remove(target);
-    pending = !unclear.isEmpty();
+    List<BrokenAttempt> attempts = unresolved.remove(target);
+    anyUnresolved = !unresolved.isEmpty();
     return attempts == null ? List.of() : attempts;
   }
 
   private void onRoutingChanged() {
-    List<TargetId> gone;
+    List<TargetId> unregistered;
     synchronized (this) {
-      if (unclear.isEmpty()) {
+      if (unresolved.isEmpty()) {
         return;
       }
-      dropOld();
+      discardExpired();
       RoutingSnapshot known = state.current();
-      gone = unclear.keySet().stream().filter(id -> known.target(id).isEmpty()).toList();
+      unregistered = unresolved.keySet().stream().filter(id -> known.target(id).isEmpty()).toList();
     }
-    gone.forEach(this::onEnded);
+    unregistered.forEach(this::onEnded);
   }
 
-  private void dropOld() {
-    long oldestMs = clock.nowMs() - REMEMBERED_MS;
-    Iterator<List<BrokenAttempt>> all = unclear.values().iterator();
+  private void discardExpired() {
+    long oldestMs = clock.nowMs() - RETENTION_MS;
+    Iterator<List<BrokenAttempt>> all = unresolved.values().iterator();
     while (all.hasNext()) {
       List<BrokenAttempt> attempts = all.next();
       attempts.removeIf(attempt -> attempt.endedMs() < oldestMs);
@@ -141,6 +142,6 @@
         all.remove();
       }
     }
-    pending = !unclear.isEmpty();
+    anyUnresolved = !unresolved.isEmpty();
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
@@ -23,59 +23,60 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Gives requests a slot at a target, at once or as soon as there is one.
+ * Assigns requests to slots of targets and queues those for which no slot is free.
  *
- * <p>All gateways together must not fill the queue of a target, since some targets never answer
- * what they cannot queue: each gateway keeps to its even part. Requests that wait are served by
- * priority, then in the order of arrival. A key goes to its owner only; a request without a key
- * goes where it is likely to be answered first.
+ * <p>Some targets never respond to requests that do not fit into their queue, so all gateways
+ * together must not overfill it: each gateway starts with an equal share of the target's capacity.
+ * Queued requests are served by priority, then in order of arrival. A keyed request goes only to
+ * the owner of its key; a request without a key goes to the target with the lowest expected cost.
  *
  * @since 0.2
  */
 final class Dispatcher {
 
-  /** Requests that all gateways together may have at a target, for each of its slots. */
+  /** In-flight requests allowed at a target by all gateways together, per slot of the target. */
   private static final int REQUESTS_PER_SLOT = 6;
 
   /**
-   * A target in another data centre counts as this many times slower, for a small request: enough
-   * to stay at home if nothing else speaks for either.
+   * Cost factor of a target in another data centre, for a small request. It keeps requests in the
+   * local data centre as long as nothing else favours the remote target.
    */
-  private static final double REMOTE_COST = 1.25;
+  private static final double REMOTE_COST_FACTOR = 1.25;
 
   /**
-   * Bytes between data centres are paid for: so many, of the request and its answer together, add
-   * as much again. An upload of 60 KB that crosses costs a fifth of what its answer is worth. How
-   * large an answer will be is not known; the mean of its route is.
+   * Traffic between data centres is billed by the byte: this many bytes of request and response
+   * together add 1 to the cost factor. A 60 KB upload that crosses data centres costs a fifth of
+   * the value of its response. The size of a response is not known in advance, so the mean of its
+   * route is used.
    */
-  private static final double REMOTE_BYTES = 40_000;
+  private static final double REMOTE_BYTES_PER_COST_UNIT = 40_000;
 
-  /** Costs differ by up to this share at random, so that gateways do not all choose the same. */
-  private static final double SPREAD = 0.2;
+  /** Random share added to each cost, so that gateways do not all choose the same target. */
+  private static final double COST_JITTER = 0.2;
 
-  /** When the caller of a request whose key cannot move should come back. */
-  private static final long LEAST_STUCK_MS = 500;
+  /** Shortest retry delay for a caller whose request has a key that cannot move. */
+  private static final long MIN_STUCK_RETRY_MS = 500;
 
-  private static final long MOST_STUCK_MS = 5_000;
+  private static final long MAX_STUCK_RETRY_MS = 5_000;
 
-  /** Requests wait for the end of a rest that is shorter. */
+  /** Requests wait for the end of a back-off of at most this length instead of being refused. */
   private static final long SHORT_BACKOFF_MS = 50;
 
-  /** Weight of the newest answer in the mean time of a route. */
-  private static final double NEWEST = 0.05;
+  /** Weight of the newest response in the moving averages of a route. */
+  private static final double EWMA_WEIGHT = 0.05;
 
   private final RoutingState state;
   private final DataCentreId dataCentre;
   private final MillisClock clock;
   private final RandomGenerator random;
   private final TargetQuotas quotas;
-  private final TargetBackoffs rests;
+  private final TargetBackoffs backoffs;
   private final Map<TargetId, TargetSlots> slotsByTarget = new HashMap<>();
   private final Map<ServiceId, PriorityQueue<SlotRequest>> waiting = new HashMap<>();
-  private final Map<String, Double> meanTimeByRouteMs = new HashMap<>();
-  private final Map<String, Double> meanAnswerByRouteBytes = new HashMap<>();
+  private final Map<String, Double> meanTimeMsByRoute = new HashMap<>();
+  private final Map<String, Double> meanResponseBytesByRoute = new HashMap<>();
   private final Set<TargetId> replaced = new HashSet<>();
-  private final List<TargetId> replacedUnreported = new ArrayList<>();
+  private final List<TargetId> unreportedReplaced = new ArrayList<>();
   private long nextOrder;
 
   Dispatcher(
@@ -84,47 +85,47 @@
       MillisClock clock,
       RandomGenerator random,
       TargetQuotas quotas,
-      TargetBackoffs rests) {
+      TargetBackoffs backoffs) {
     this.state = state;
     this.dataCentre = dataCentre;
     this.clock = clock;
     this.random = random;
     this.quotas = quotas;
-    this.rests = rests;
+    this.backoffs = backoffs;
     state.onChange(this::onRoutingChanged);
-    quotas.onUsable(this::serveWaiting);
-    rests.onOver(this::serveWaiting);
+    quotas.onUsable(this::dispatchWaiting);
+    backoffs.onEnd(this::dispatchWaiting);
   }
 
-  /** Places a request now, or as soon as it can be; refuses one that waits in vain. */
-  void submit(SlotRequest wish) {
+  /** Assigns a slot to a request or queues it; refuses it if waiting would be in vain. */
+  void submit(SlotRequest request) {
     Optional<Slot> slot;
     Optional<TargetRefusal> refusal = Optional.empty();
     synchronized (this) {
       RoutingSnapshot snapshot = state.current();
-      wish.setOrder(nextOrder++);
-      slot = tryPlace(wish, snapshot);
+      request.setOrder(nextOrder++);
+      slot = tryAssign(request, snapshot);
       if (slot.isEmpty()) {
-        refusal = refusalOf(wish, snapshot);
+        refusal = refusalOf(request, snapshot);
       }
       if (slot.isEmpty() && refusal.isEmpty()) {
-        waiting.computeIfAbsent(wish.service(), id -> newQueue()).add(wish);
+        waiting.computeIfAbsent(request.service(), id -> newQueue()).add(request);
       }
     }
-    slot.ifPresent(wish::placed);
-    refusal.ifPresent(wish::refused);
+    slot.ifPresent(request::placed);
+    refusal.ifPresent(request::refused);
   }
 
-  /** Tells whether a request has to be refused at once: its owner cannot bear all of its kind. */
-  boolean shouldShed(SlotRequest wish) {
-    if (wish.key().isEmpty()) {
+  /** Returns whether to shed a request, since the owner of its key range is overloaded. */
+  boolean shouldShed(SlotRequest request) {
+    if (request.key().isEmpty()) {
       return false;
     }
     int refusedPercent =
         state
             .current()
-            .owners(wish.service())
-            .flatMap(owners -> owners.find(wish.key().getAsInt()))
+            .owners(request.service())
+            .flatMap(owners -> owners.find(request.key().getAsInt()))
             .map(RangeRoute::refusedPercent)
             .orElse(0);
     synchronized (this) {
@@ -132,27 +133,27 @@
     }
   }
 
-  /** Withdraws a request that waits. Tells whether it did. */
-  synchronized boolean withdraw(SlotRequest wish) {
-    PriorityQueue<SlotRequest> queue = waiting.get(wish.service());
-    return queue != null && queue.remove(wish);
+  /** Removes a request from the queue. Returns whether it was queued. */
+  synchronized boolean withdraw(SlotRequest request) {
+    PriorityQueue<SlotRequest> queue = waiting.get(request.service());
+    return queue != null && queue.remove(request);
   }
 
-  /** Says why a request that waits cannot be placed, for the log. */
-  synchronized String waitReason(SlotRequest wish) {
+  /** Returns why a queued request has no slot yet, for the log. */
+  synchronized String waitReason(SlotRequest request) {
     RoutingSnapshot snapshot = state.current();
-    if (wish.key().isEmpty()) {
-      return snapshot.ready(wish.service()).isEmpty() ? "no_target" : "targets_busy";
+    if (request.key().isEmpty()) {
+      return snapshot.ready(request.service()).isEmpty() ? "no_target" : "targets_busy";
     }
     Optional<RangeRoute> range =
-        snapshot.owners(wish.service()).flatMap(owners -> owners.find(wish.key().getAsInt()));
+        snapshot.owners(request.service()).flatMap(owners -> owners.find(request.key().getAsInt()));
     if (range.isEmpty()) {
       return "owner_unknown";
     }
     if (!range.get().open()) {
       return "key_on_the_move";
     }
-    if (rests.leftMs(range.get().owner()) > 0) {
+    if (backoffs.remainingMs(range.get().owner()) > 0) {
       return "owner_resting";
     }
     if (quotas.isLimited(range.get().owner())) {
@@ -162,72 +163,76 @@
     return usable ? "owner_busy" : "owner_leaving";
   }
 
-  /** Gives a slot back and learns from how the attempt went. */
-  void giveBack(Slot slot, SlotRequest wish, AttemptOutcome end, long tookMs) {
+  /** Frees a slot and updates the statistics with the outcome of the attempt. */
+  void release(Slot slot, SlotRequest request, AttemptOutcome outcome, long tookMs) {
     synchronized (this) {
       TargetSlots slots = slotsOf(slot.target(), state.current());
-      slots.giveBack();
-      learn(slots, wish.route().name(), end, tookMs);
-      learnSize(wish);
+      slots.release();
+      recordOutcome(slots, request.route().name(), outcome, tookMs);
+      recordResponseSize(request);
     }
-    serveWaiting(slot.target().service());
+    dispatchWaiting(slot.target().service());
   }
 
-  /** A target has asked for rest: afterwards it gets one request first, then slowly more. */
+  /** Resets the concurrency limit of a target that asked for a back-off to one request. */
   void onBackoff(FleetTarget target) {
     synchronized (this) {
       slotsOf(target, state.current()).onBackoff();
     }
-    serveWaiting(target.service());
+    dispatchWaiting(target.service());
   }
 
-  /** Another target answers at the address of this one: it has ended, whatever is registered. */
+  /**
+   * Marks a target as ended, since another target responded at its address. The registry may still
+   * list it.
+   */
   synchronized void onReplaced(TargetId target) {
     if (replaced.add(target)) {
-      replacedUnreported.add(target);
+      unreportedReplaced.add(target);
     }
   }
 
-  /** Tells whether another target has answered at the address of this one. */
+  /** Returns whether another target has responded at the address of this one. */
   synchronized boolean isReplaced(TargetId target) {
     return replaced.contains(target);
   }
 
-  /** Returns the targets found replaced since the last call. */
+  /** Returns the targets marked as replaced since the last call. */
   synchronized List<TargetId> takeReplaced() {
-    List<TargetId> taken = List.copyOf(replacedUnreported);
-    replacedUnreported.clear();
+    List<TargetId> taken = List.copyOf(unreportedReplaced);
+    unreportedReplaced.clear();
     return taken;
   }
 
-  /** Returns how long requests of a route take, over all targets; milliseconds. */
+  /** Returns the mean response time of a route over all targets, in milliseconds. */
   synchronized long meanTimeMs(String route) {
-    return meanTimeByRouteMs.getOrDefault(route, 0.0).longValue();
+    return meanTimeMsByRoute.getOrDefault(route, 0.0).longValue();
   }
 
-  private void learn(TargetSlots slots, String route, AttemptOutcome end, long tookMs) {
-    switch (end) {
+  private void recordOutcome(TargetSlots slots, String route, AttemptOutcome outcome, long tookMs) {
+    switch (outcome) {
       case ANSWERED -> {
-        double mean = meanTimeByRouteMs.getOrDefault(route, Math.max(1.0, tookMs));
-        slots.onAnswer(tookMs / mean);
-        meanTimeByRouteMs.put(route, Math.max(1.0, mean + NEWEST * (tookMs - mean)));
+        double mean = meanTimeMsByRoute.getOrDefault(route, Math.max(1.0, tookMs));
+        slots.onResponse(tookMs / mean);
+        meanTimeMsByRoute.put(route, Math.max(1.0, mean + EWMA_WEIGHT * (tookMs - mean)));
       }
-      case FAILED -> slots.onFailedAnswer();
-      case NO_ANSWER -> slots.onNoAnswer(clock.nowMs());
+      case FAILED -> slots.onFailedResponse();
+      case NO_ANSWER -> slots.onNoResponse(clock.nowMs());
       default -> {
-        // It says nothing of the target.
+        // An abandoned attempt says nothing about the target.
       }
     }
   }
 
-  private void learnSize(SlotRequest wish) {
-    wish.answerBytes()
+  private void recordResponseSize(SlotRequest request) {
+    request
+        .responseBytes()
         .ifPresent(
             bytes ->
-                meanAnswerByRouteBytes.merge(
-                    wish.route().name(),
+                meanResponseBytesByRoute.merge(
+                    request.route().name(),
                     (double) bytes,
-                    (mean, newest) -> mean + NEWEST * (newest - mean)));
+                    (mean, newest) -> mean + EWMA_WEIGHT * (newest - mean)));
   }
 
   private void onRoutingChanged() {
@@ -238,11 +243,11 @@
       replaced.removeIf(isGone);
       slotsByTarget.entrySet().removeIf(e -> e.getValue().inUse() == 0 && isGone.test(e.getKey()));
     }
-    services.forEach(this::serveWaiting);
+    services.forEach(this::dispatchWaiting);
   }
 
-  /** Looks at those that wait once more, for example because a pause is over. */
-  void serveWaiting(ServiceId service) {
+  /** Tries again to assign slots to the queued requests of a service. */
+  void dispatchWaiting(ServiceId service) {
     Map<SlotRequest, Slot> placed = new HashMap<>();
     Map<SlotRequest, TargetRefusal> refused = new HashMap<>();
     synchronized (this) {
@@ -250,73 +255,79 @@
       if (queue == null || queue.isEmpty()) {
         return;
       }
-      placeFrom(queue, placed, refused);
+      dispatchQueue(queue, placed, refused);
     }
     placed.forEach(SlotRequest::placed);
     refused.forEach(SlotRequest::refused);
   }
 
-  private void placeFrom(
+  private void dispatchQueue(
       PriorityQueue<SlotRequest> queue,
       Map<SlotRequest, Slot> placed,
       Map<SlotRequest, TargetRefusal> refused) {
     RoutingSnapshot snapshot = state.current();
     List<SlotRequest> left = new ArrayList<>();
     while (!queue.isEmpty()) {
-      SlotRequest wish = queue.poll();
-      Optional<Slot> slot = tryPlace(wish, snapshot);
+      SlotRequest request = queue.poll();
+      Optional<Slot> slot = tryAssign(request, snapshot);
       Optional<TargetRefusal> refusal =
-          slot.isPresent() ? Optional.empty() : refusalOf(wish, snapshot);
+          slot.isPresent() ? Optional.empty() : refusalOf(request, snapshot);
       if (slot.isPresent()) {
-        placed.put(wish, slot.get());
+        placed.put(request, slot.get());
       } else if (refusal.isPresent()) {
-        refused.put(wish, refusal.get());
+        refused.put(request, refusal.get());
       } else {
-        left.add(wish);
+        left.add(request);
       }
     }
     queue.addAll(left);
   }
 
-  private Optional<Slot> tryPlace(SlotRequest wish, RoutingSnapshot snapshot) {
+  private Optional<Slot> tryAssign(SlotRequest request, RoutingSnapshot snapshot) {
     Optional<FleetTarget> target =
-        wish.key().isPresent() ? ownerOf(wish, snapshot) : bestOf(wish, snapshot);
+        request.key().isPresent()
+            ? findAvailableOwner(request, snapshot)
+            : findBest(request, snapshot);
     return target.map(
         found -> {
           slotsOf(found, snapshot).take();
-          wish.placedUnder(snapshot.ownersVersion());
+          request.assignedUnder(snapshot.ownersVersion());
           return new Slot(found, clock.upper());
         });
   }
 
-  private Optional<FleetTarget> ownerOf(SlotRequest wish, RoutingSnapshot snapshot) {
-    if (!wish.accepts(snapshot.ownersVersion())) {
+  private Optional<FleetTarget> findAvailableOwner(SlotRequest request, RoutingSnapshot snapshot) {
+    if (!request.accepts(snapshot.ownersVersion())) {
       return Optional.empty();
     }
-    return usableOwnerOf(wish, snapshot)
-        .filter(target -> hasRoom(target, snapshot))
-        .filter(target -> quotas.take(target, wish.route().priority()));
+    return findReadyOwner(request, snapshot)
+        .filter(target -> canAccept(target, snapshot))
+        .filter(target -> quotas.take(target, request.route().priority()));
   }
 
-  private static Optional<FleetTarget> usableOwnerOf(SlotRequest wish, RoutingSnapshot snapshot) {
+  private static Optional<FleetTarget> findReadyOwner(
+      SlotRequest request, RoutingSnapshot snapshot) {
     return snapshot
-        .owners(wish.service())
-        .flatMap(owners -> owners.find(wish.key().getAsInt()))
+        .owners(request.service())
+        .flatMap(owners -> owners.find(request.key().getAsInt()))
         .filter(RangeRoute::open)
         .flatMap(range -> snapshot.target(range.owner()))
         .filter(FleetTarget::isReady);
   }
 
-  /** Tells whether nothing that may run the request takes it before it would have waited long. */
-  private Optional<TargetRefusal> refusalOf(SlotRequest wish, RoutingSnapshot snapshot) {
+  /**
+   * Returns a refusal if no target that may run the request is expected to accept it in time,
+   * naming the target that accepts requests again first.
+   */
+  private Optional<TargetRefusal> refusalOf(SlotRequest request, RoutingSnapshot snapshot) {
     List<FleetTarget> targets =
-        wish.key().isPresent()
-            ? usableOwnerOf(wish, snapshot).stream().toList()
-            : untried(wish, snapshot);
+        request.key().isPresent()
+            ? findReadyOwner(request, snapshot).stream().toList()
+            : untriedTargets(request, snapshot);
     if (targets.isEmpty()) {
-      return refusalOfStuckKey(wish, snapshot);
+      return refusalOfStuckKey(request, snapshot);
     }
-    int priority = wish.route().priority();
+    int priority = request.route().priority();
     FleetTarget first = null;
     long firstMs = Long.MAX_VALUE;
     for (FleetTarget target : targets) {
@@ -332,64 +343,67 @@
     return Optional.ofNullable(first).map(target -> refuse(target.id(), priority));
   }
 
-  /** Nobody knows when the store answers again: the longer it has not, the later. */
-  private Optional<TargetRefusal> refusalOfStuckKey(SlotRequest wish, RoutingSnapshot snapshot) {
+  /**
+   * Refuses a request whose key cannot move while the store is unavailable. The retry delay grows
+   * with the length of the outage, since its end is unknown.
+   */
+  private Optional<TargetRefusal> refusalOfStuckKey(SlotRequest request, RoutingSnapshot snapshot) {
     OptionalLong sinceMs = state.movesBlockedSinceMs();
-    if (wish.key().isEmpty() || sinceMs.isEmpty()) {
+    if (request.key().isEmpty() || sinceMs.isEmpty()) {
       return Optional.empty();
     }
     long heldUpMs = clock.nowMs() - sinceMs.getAsLong();
-    long retryAfterMs = Math.max(LEAST_STUCK_MS, Math.min(MOST_STUCK_MS, heldUpMs));
+    long retryAfterMs = Math.max(MIN_STUCK_RETRY_MS, Math.min(MAX_STUCK_RETRY_MS, heldUpMs));
     return snapshot
-        .owners(wish.service())
-        .flatMap(owners -> owners.find(wish.key().getAsInt()))
+        .owners(request.service())
+        .flatMap(owners -> owners.find(request.key().getAsInt()))
         .map(range -> TargetRefusal.forStuckKey(range.owner(), retryAfterMs));
   }
 
   private long refusedForMs(TargetId target, int priority) {
-    long backoffMs = rests.leftMs(target);
+    long backoffMs = backoffs.remainingMs(target);
     return Math.max(
         backoffMs > SHORT_BACKOFF_MS ? backoffMs : 0,
         quotas.refusedForMs(target, priority).orElse(0));
   }
 
   private TargetRefusal refuse(TargetId target, int priority) {
-    long backoffMs = rests.leftMs(target);
+    long backoffMs = backoffs.remainingMs(target);
     return backoffMs > SHORT_BACKOFF_MS
         ? TargetRefusal.forBackoff(target, backoffMs)
         : quotas.refuse(target, priority);
   }
 
-  private static List<FleetTarget> untried(SlotRequest wish, RoutingSnapshot snapshot) {
-    List<FleetTarget> ready = snapshot.ready(wish.service());
-    List<FleetTarget> left = ready.stream().filter(t -> !wish.tried().contains(t.id())).toList();
+  private static List<FleetTarget> untriedTargets(SlotRequest request, RoutingSnapshot snapshot) {
+    List<FleetTarget> ready = snapshot.ready(request.service());
+    List<FleetTarget> left = ready.stream().filter(t -> !request.tried().contains(t.id())).toList();
     return left.isEmpty() ? ready : left;
   }
 
-  private Optional<FleetTarget> bestOf(SlotRequest wish, RoutingSnapshot snapshot) {
-    Set<TargetId> skipped = new HashSet<>(skippedBy(wish, snapshot));
-    int priority = wish.route().priority();
-    Optional<FleetTarget> best = cheapestOf(wish, skipped, snapshot);
+  private Optional<FleetTarget> findBest(SlotRequest request, RoutingSnapshot snapshot) {
+    Set<TargetId> excluded = new HashSet<>(excludedTargets(request, snapshot));
+    int priority = request.route().priority();
+    Optional<FleetTarget> best = findCheapest(request, excluded, snapshot);
     while (best.isPresent() && !quotas.take(best.get(), priority)) {
-      skipped.add(best.get().id());
-      best = cheapestOf(wish, skipped, snapshot);
+      excluded.add(best.get().id());
+      best = findCheapest(request, excluded, snapshot);
     }
     return best;
   }
 
-  private Optional<FleetTarget> cheapestOf(
-      SlotRequest wish, Set<TargetId> skipped, RoutingSnapshot snapshot) {
+  private Optional<FleetTarget> findCheapest(
+      SlotRequest request, Set<TargetId> excluded, RoutingSnapshot snapshot) {
     FleetTarget best = null;
     double bestCost = Double.MAX_VALUE;
-    int priority = wish.route().priority();
-    for (FleetTarget target : snapshot.ready(wish.service())) {
-      boolean usable = !skipped.contains(target.id()) && hasRoom(target, snapshot);
+    int priority = request.route().priority();
+    for (FleetTarget target : snapshot.ready(request.service())) {
+      boolean usable = !excluded.contains(target.id()) && canAccept(target, snapshot);
       if (!usable || quotas.refusedForMs(target.id(), priority).isPresent()) {
         continue;
       }
       double cost = slotsOf(target, snapshot).cost(target.slots());
-      cost *= target.dataCentre().equals(dataCentre) ? 1 : remoteCost(wish);
-      cost *= 1 + SPREAD * random.nextDouble();
+      cost *= target.dataCentre().equals(dataCentre) ? 1 : remoteCost(request);
+      cost *= 1 + COST_JITTER * random.nextDouble();
       if (cost < bestCost) {
         best = target;
         bestCost = cost;
@@ -398,29 +412,32 @@
     return Optional.ofNullable(best);
   }
 
-  private double remoteCost(SlotRequest wish) {
-    double answerBytes = meanAnswerByRouteBytes.getOrDefault(wish.route().name(), 0.0);
-    return REMOTE_COST + (wish.bodyBytes() + answerBytes) / REMOTE_BYTES;
+  private double remoteCost(SlotRequest request) {
+    double responseBytes = meanResponseBytesByRoute.getOrDefault(request.route().name(), 0.0);
+    return REMOTE_COST_FACTOR + (request.bodyBytes() + responseBytes) / REMOTE_BYTES_PER_COST_UNIT;
   }
 
-  /** Targets tried before and those in a pause; none of them if there is no other. */
-  private Set<TargetId> skippedBy(SlotRequest wish, RoutingSnapshot snapshot) {
+  /**
+   * Returns the targets tried before and the paused ones, or only the former if no target would be
+   * left.
+   */
+  private Set<TargetId> excludedTargets(SlotRequest request, RoutingSnapshot snapshot) {
     long nowMs = clock.nowMs();
-    Set<TargetId> skipped = new HashSet<>(wish.tried());
-    boolean othersLeft = false;
-    for (FleetTarget target : snapshot.ready(wish.service())) {
+    Set<TargetId> excluded = new HashSet<>(request.tried());
+    boolean candidatesLeft = false;
+    for (FleetTarget target : snapshot.ready(request.service())) {
       if (slotsOf(target, snapshot).isPaused(nowMs)) {
-        skipped.add(target.id());
+        excluded.add(target.id());
       }
-      othersLeft |= !skipped.contains(target.id());
+      candidatesLeft |= !excluded.contains(target.id());
     }
-    return othersLeft ? skipped : wish.tried();
+    return candidatesLeft ? excluded : request.tried();
   }
 
-  private boolean hasRoom(FleetTarget target, RoutingSnapshot snapshot) {
+  private boolean canAccept(FleetTarget target, RoutingSnapshot snapshot) {
     return !replaced.contains(target.id())
-        && rests.leftMs(target.id()) == 0
-        && slotsOf(target, snapshot).hasRoom();
+        && backoffs.remainingMs(target.id()) == 0
+        && slotsOf(target, snapshot).hasFreeSlot();
   }
 
   private TargetSlots slotsOf(FleetTarget target, RoutingSnapshot snapshot) {
@@ -428,21 +445,21 @@
     if (known != null) {
       return known;
     }
-    double forAll = (double) target.slots() * REQUESTS_PER_SLOT;
-    double evenPart = Math.max(1, Math.rint(forAll / snapshot.processes()));
-    TargetSlots created = new TargetSlots(evenPart, target.slots());
+    double fleetCapacity = (double) target.slots() * REQUESTS_PER_SLOT;
+    double equalShare = Math.max(1, Math.rint(fleetCapacity / snapshot.processes()));
+    TargetSlots created = new TargetSlots(equalShare, target.slots());
     slotsByTarget.put(target.id(), created);
     return created;
   }
 
-  /** Returns how long targets took since the last call. */
+  /** Returns the relative response times of targets measured since the last call. */
   synchronized TargetTimesReport takeTimes() {
     List<TargetTime> times = new ArrayList<>();
     slotsByTarget.forEach((id, slots) -> slots.takeTime(id).ifPresent(times::add));
     return new TargetTimesReport(times);
   }
 
-  /** Returns how many requests wait. */
+  /** Returns the number of queued requests. */
   synchronized int waitingCount() {
     int count = 0;
     for (Iterator<PriorityQueue<SlotRequest>> i = waiting.values().iterator(); i.hasNext(); ) {
@@ -453,7 +470,7 @@
 
   private static PriorityQueue<SlotRequest> newQueue() {
     return new PriorityQueue<>(
-        Comparator.comparingInt((SlotRequest wish) -> wish.route().priority())
+        Comparator.comparingInt((SlotRequest request) -> request.route().priority())
             .thenComparingLong(SlotRequest::order));
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ExchangeServices.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ExchangeServices.java
@@ -18,12 +18,12 @@
  * @param departures tells which targets have said that they leave; not null
  * @param quotas tells which targets name a limit; not null
  * @param signals reads what targets say in their answers; not null
- * @param rests tells which targets are left alone; not null
+ * @param backoffs tells which targets are left alone; not null
  * @param client talks to targets; not null
  * @param budgets bound repeats; not null
  * @param quarantine tells what must not be sent; not null
- * @param witness finds out under which requests targets end; not null
- * @param keyWork sums up the work of keys; not null
+ * @param crashDetector finds out under which requests targets end; not null
+ * @param keyLoad sums up the work of keys; not null
  * @param timers run deadlines; not null
  * @param clock the time; not null
  * @param headers the header fields in use; not null
@@ -38,12 +38,12 @@
     TargetDepartures departures,
     TargetQuotas quotas,
     SignalReader signals,
-    TargetBackoffs rests,
+    TargetBackoffs backoffs,
     TargetClient client,
     RetryBudgets budgets,
     RequestQuarantine quarantine,
-    CrashDetector witness,
-    KeyLoadMeter keyWork,
+    CrashDetector crashDetector,
+    KeyLoadMeter keyLoad,
     Timers timers,
     MillisClock clock,
     RequestHeaders headers,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
@@ -16,31 +16,32 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * One request, from the moment it has been read to its one final answer: carries out what {@link
- * ExchangeMachine} decides.
+ * Processes one request from the moment it has been read to its single final response, by executing
+ * the effects that {@link ExchangeMachine} decides on.
  *
- * <p>Decisions are made under this object's monitor, effects are carried out without it.
+ * <p>Decisions are made under this object's monitor, effects are executed without it.
  */
 final class GatewayExchange implements TargetAttempt.Listener, SlotRequest.Listener {
 
   private final ExchangeServices services;
   private final CallerRequest call;
-  private final SlotRequest wish;
+  private final SlotRequest slotRequest;
   private final ExchangeMachine machine;
   private final Runnable onEnded;
 
   private volatile Slot slot;
-  private volatile TargetAttempt current;
-  private volatile TargetAnswerBody answer;
-  private volatile Cancellable deadline = () -> {};
-  private volatile Cancellable patience = () -> {};
+  private volatile TargetAttempt currentAttempt;
+  private volatile TargetAnswerBody response;
+  private volatile Cancellable deadlineTimer = () -> {};
+  private volatile Cancellable slotWaitTimer = () -> {};
 
   GatewayExchange(ExchangeServices services, CallerRequest call, Runnable onEnded) {
     this.services = services;
     this.call = call;
     this.onEnded = onEnded;
-    this.wish = new SlotRequest(call.route(), call.service(), call.key(), call.body().length, this);
-    this.machine = new ExchangeMachine(profileOf(call), this::takesBudget);
+    this.slotRequest =
+        new SlotRequest(call.route(), call.service(), call.key(), call.body().length, this);
+    this.machine = new ExchangeMachine(profileOf(call), this::tryTakeRetryBudget);
   }
 
   private static ExchangeProfile profileOf(CallerRequest call) {
@@ -58,23 +59,24 @@
     services.budgets().onRequest(call.service());
     call.watchCaller(this::onCallerGone);
     long nowMs = services.clock().nowMs();
-    deadline = services.timers().schedule(this::onDeadline, Math.max(0, call.deadlineMs() - nowMs));
-    if (isRefused(services.quarantine().admit(call.identity()))) {
+    deadlineTimer =
+        services.timers().schedule(this::onDeadline, Math.max(0, call.deadlineMs() - nowMs));
+    if (endIfQuarantined(services.quarantine().admit(call.identity()))) {
       return;
     }
-    boolean turnedAway = services.dispatcher().shouldShed(wish);
+    boolean turnedAway = services.dispatcher().shouldShed(slotRequest);
     if (turnedAway) {
-      countUnservedWork();
+      recordUnservedLoad();
     }
     decide(() -> machine.onStart(turnedAway, nowMs));
   }
 
   @Override
   public void onPlaced(Slot placed) {
-    patience.cancel();
+    slotWaitTimer.cancel();
     slot = placed;
-    if (isRefused(quarantinedForMs())) {
-      services.dispatcher().giveBack(placed, wish, AttemptOutcome.GIVEN_UP, 0);
+    if (endIfQuarantined(quarantinedForMs())) {
+      services.dispatcher().release(placed, slotRequest, AttemptOutcome.GIVEN_UP, 0);
     } else {
       decide(machine::onSlot);
     }
@@ -82,8 +84,8 @@
 
   @Override
   public void onRefused(TargetRefusal refusal) {
-    patience.cancel();
-    countUnservedWork();
+    slotWaitTimer.cancel();
+    recordUnservedLoad();
     switch (refusal.cause()) {
       case REST -> {
         logRefusal("request_held_off", refusal, "");
@@ -118,25 +120,28 @@
     return services.quarantine().refusedForMs(call.identity(), machine.runs());
   }
 
-  /** Ends a request that may be sent to no target; that may come up while it waits. */
-  private boolean isRefused(long forMs) {
+  /**
+   * Ends the request if it is quarantined, which may also happen while it waits. Returns whether it
+   * was.
+   */
+  private boolean endIfQuarantined(long forMs) {
     if (forMs > 0) {
       decide(() -> machine.onQuarantined(forMs));
     }
     return forMs > 0;
   }
 
-  private void onOutOfPatience() {
-    if (services.dispatcher().withdraw(wish)) {
-      countUnservedWork();
-      String reason = services.dispatcher().waitReason(wish);
+  private void onSlotWaitTimeout() {
+    if (services.dispatcher().withdraw(slotRequest)) {
+      recordUnservedLoad();
+      String reason = services.dispatcher().waitReason(slotRequest);
       decide(() -> machine.onNoSlot(reason));
     }
   }
 
   @Override
   public void onAnswer(TargetAttempt attempt, int status, HttpFields headers, byte[] body) {
-    answer = new TargetAnswerBody(status, headers, body);
+    response = new TargetAnswerBody(status, headers, body);
     decide(() -> machine.onAnswer(status, services.clock().nowMs()));
   }
 
@@ -159,13 +164,13 @@
       case CALLER_PRESENT -> onCallerGone();
       case TIME_LEFT -> decide(() -> machine.onDeadline(false));
       case ROUTE_IN_FORCE -> decide(() -> machine.onNoSlot(obstacle.label()));
-      case QUARANTINE_CLEAR -> isRefused(Math.max(1, quarantinedForMs()));
-      default -> onTargetUnfit(obstacle);
+      case QUARANTINE_CLEAR -> endIfQuarantined(Math.max(1, quarantinedForMs()));
+      default -> onTargetUnusable(obstacle);
     }
   }
 
-  /** Another target may do; while what is known of all of them is too old, none does. */
-  private void onTargetUnfit(SendObstacle obstacle) {
+  /** Tries another target, unless the list of targets is outdated as a whole. */
+  private void onTargetUnusable(SendObstacle obstacle) {
     if (obstacle.condition() == SendCondition.TARGET_SERVES && obstacle.outdated()) {
       decide(() -> machine.onNoSlot(obstacle.label()));
     } else {
@@ -175,7 +180,7 @@
   }
 
   private void onDeadline() {
-    decide(() -> machine.onDeadline(current != null && !current.preventHandover()));
+    decide(() -> machine.onDeadline(currentAttempt != null && !currentAttempt.preventHandover()));
   }
 
   private void onCallerGone() {
@@ -187,25 +192,25 @@
     synchronized (this) {
       effects = event.get();
     }
-    effects.forEach(this::carryOut);
+    effects.forEach(this::execute);
   }
 
-  private void carryOut(ExchangeEffect effect) {
+  private void execute(ExchangeEffect effect) {
     if (effect instanceof ExchangeEffect.SeekSlot seek) {
-      patience = services.timers().schedule(this::onOutOfPatience, seek.patienceMs());
-      services.dispatcher().submit(wish);
+      slotWaitTimer = services.timers().schedule(this::onSlotWaitTimeout, seek.patienceMs());
+      services.dispatcher().submit(slotRequest);
     } else if (effect instanceof ExchangeEffect.StopSeeking) {
-      services.dispatcher().withdraw(wish);
+      services.dispatcher().withdraw(slotRequest);
     } else if (effect instanceof ExchangeEffect.Send) {
       send();
     } else if (effect instanceof ExchangeEffect.ReturnSlot) {
-      services.dispatcher().giveBack(slot, wish, AttemptOutcome.GIVEN_UP, 0);
+      services.dispatcher().release(slot, slotRequest, AttemptOutcome.GIVEN_UP, 0);
     } else if (effect instanceof ExchangeEffect.AvoidTarget) {
-      log("request_repeated", current, "elsewhere");
-      wish.tried().add(current.target().id());
+      log("request_repeated", currentAttempt, "elsewhere");
+      slotRequest.tried().add(currentAttempt.target().id());
     } else if (effect instanceof ExchangeEffect.AwaitNewerOwners pause) {
-      wish.avoidOwnersUsed();
-      services.timers().schedule(this::onOwnerPauseOver, pause.pauseMs());
+      slotRequest.avoidCurrentOwners();
+      services.timers().schedule(this::onOwnerPauseElapsed, pause.pauseMs());
     } else if (effect instanceof ExchangeEffect.Abandon abandon) {
       abandon(abandon.late());
     } else {
@@ -213,51 +218,55 @@
     }
   }
 
-  /** The attempt has to be known to whoever ends the request, or must never begin. */
+  /**
+   * Starts an attempt. It is published under the monitor before it starts, so that whoever ends the
+   * request can abandon it; if the request has ended already, the attempt never starts.
+   */
   private void send() {
-    TargetAttempt attempt = new TargetAttempt(services, call, wish, slot, machine.runs(), this);
+    TargetAttempt attempt =
+        new TargetAttempt(services, call, slotRequest, slot, machine.runs(), this);
     boolean begins;
     synchronized (this) {
       begins = !machine.isDone();
       if (begins) {
-        current = attempt;
+        currentAttempt = attempt;
       }
     }
     if (begins) {
       attempt.start();
     } else {
-      services.dispatcher().giveBack(slot, wish, AttemptOutcome.GIVEN_UP, 0);
+      services.dispatcher().release(slot, slotRequest, AttemptOutcome.GIVEN_UP, 0);
     }
   }
 
   private void abandon(boolean late) {
-    TargetAttempt attempt = current;
+    TargetAttempt attempt = currentAttempt;
     if (attempt == null) {
       return;
     }
     if (late) {
-      attempt.onTooLate();
+      attempt.onTimedOut();
     }
-    attempt.abandon(late ? "timeout" : "the caller is gone");
+    attempt.abandon(late ? "timeout" : "the caller disconnected");
   }
 
   private void end(ExchangeEffect last) {
-    deadline.cancel();
-    patience.cancel();
+    deadlineTimer.cancel();
+    slotWaitTimer.cancel();
     call.unwatchCaller();
     if (last instanceof ExchangeEffect.Relay relay) {
       relay(relay.failed());
     } else if (last instanceof ExchangeEffect.Refuse refuse) {
-      answer(CallerResponseWriter.UNAVAILABLE, refuse.retryAfterMs(), refuse.reason());
+      respond(CallerResponseWriter.UNAVAILABLE, refuse.retryAfterMs(), refuse.reason());
     } else if (last instanceof ExchangeEffect.GiveUp giveUp) {
       int status =
           giveUp.timedOut()
               ? CallerResponseWriter.GATEWAY_TIMEOUT
               : CallerResponseWriter.BAD_GATEWAY;
-      answer(status, 0, giveUp.reason());
+      respond(status, 0, giveUp.reason());
     } else {
       count(RequestOutcome.CALLER_GONE);
-      log("caller_gone", current, "closed");
+      log("caller_gone", currentAttempt, "closed");
       try {
         call.callback().failed(new CallerGoneException());
       } finally {
@@ -267,24 +276,24 @@
   }
 
   private void relay(boolean failed) {
-    TargetAnswerBody whole = answer;
+    TargetAnswerBody complete = response;
     count(failed ? RequestOutcome.FAILED_AT_TARGET : RequestOutcome.ANSWERED);
     String event = failed ? "request_failed_at_target" : "request_served";
-    log(event, current, "status_" + whole.status());
+    log(event, currentAttempt, "status_" + complete.status());
     CallerResponseWriter.relay(
         call.response(),
-        whole.status(),
-        CallerHeaders.passedOn(whole.headers()),
-        whole.body(),
+        complete.status(),
+        CallerHeaders.passedOn(complete.headers()),
+        complete.body(),
         services.stopping().getAsBoolean(),
         Callback.from(call.callback(), onEnded));
   }
 
-  private void answer(int status, long retryAfterMs, String reason) {
+  private void respond(int status, long retryAfterMs, String reason) {
     count(outcomeOf(status));
     services.metrics().onGivenUp(reason);
-    log("request_given_up", current, "status=" + status + " reason=" + reason);
-    CallerResponseWriter.own(
+    log("request_given_up", currentAttempt, "status=" + status + " reason=" + reason);
+    CallerResponseWriter.writeEmpty(
         call.response(),
         status,
         retryAfterMs,
@@ -292,22 +301,22 @@
         Callback.from(call.callback(), onEnded));
   }
 
-  /** Refused work has to count too, or the owner of a hot key looks less busy than it is. */
-  private void countUnservedWork() {
+  /** Counts the load of refused requests; without it the owner of a hot key would look idle. */
+  private void recordUnservedLoad() {
     if (call.key().isPresent()) {
       long meanMs = services.dispatcher().meanTimeMs(call.route().name());
-      services.keyWork().add(call.service(), call.key().getAsInt(), meanMs);
+      services.keyLoad().add(call.service(), call.key().getAsInt(), meanMs);
     }
   }
 
-  private boolean takesBudget() {
+  private boolean tryTakeRetryBudget() {
     int processes = services.state().current().processes();
     return services.budgets().tryRepeat(call.service(), processes);
   }
 
-  private void onOwnerPauseOver() {
-    wish.acceptAnyOwner();
-    services.dispatcher().serveWaiting(call.service());
+  private void onOwnerPauseElapsed() {
+    slotRequest.acceptAnyOwner();
+    services.dispatcher().dispatchWaiting(call.service());
   }
 
   private static RequestOutcome outcomeOf(int status) {
@@ -323,7 +332,7 @@
     services.metrics().onEnded(call.route().name(), outcome, tookMs);
   }
 
-  /** Writes what was decided, and how new what decided it was. */
+  /** Logs a decision together with the versions and age of the state that it is based on. */
   private void log(String event, TargetAttempt attempt, String why) {
     long nowMs = services.clock().nowMs();
     RoutingSnapshot known = services.state().current();
@@ -348,6 +357,6 @@
             why);
   }
 
-  /** A whole answer of a target. */
+  /** A response of a target, buffered completely. */
   private record TargetAnswerBody(int status, HttpFields headers, byte[] body) {}
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayHandler.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayHandler.java
@@ -22,44 +22,44 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Takes requests of callers: finds the route, reads the body, starts the exchange.
+ * Handles requests of callers: finds the route, reads the body and starts the exchange.
  *
- * <p>Without a configuration it answers 503, never 404: what it does not know may well exist.
+ * <p>Without a configuration it responds with 503, never with 404, since the route may exist.
  */
 final class GatewayHandler extends Handler.Abstract.NonBlocking {
 
   private static final long RETRY_AFTER_MS = 250;
   private static final int KEY_LIMIT = 65_536;
 
-  /** No caller waits for so long. */
-  private static final long LONGEST_WAIT_MS = 3_600_000;
+  /** Upper bound for the time since the arrival of a request; no caller waits this long. */
+  private static final long MAX_CALLER_WAIT_MS = 3_600_000;
 
   private final ExchangeServices services;
   private final RandomGenerator random;
-  private final StartupRequestBuffer early;
-  private final Set<EndPoint> busy = ConcurrentHashMap.newKeySet();
+  private final StartupRequestBuffer startupBuffer;
+  private final Set<EndPoint> busyEndPoints = ConcurrentHashMap.newKeySet();
 
   GatewayHandler(ExchangeServices services, RandomGenerator random) {
     this.services = services;
     this.random = random;
-    this.early = new StartupRequestBuffer(services.timers());
+    this.startupBuffer = new StartupRequestBuffer(services.timers());
     services.state().onChange(this::onStateChange);
   }
 
   private void onStateChange() {
     if (services.state().current().configuration().isPresent()) {
-      early.onConfiguration();
+      startupBuffer.onConfiguration();
     }
   }
 
-  /** Returns how many requests have been read and not answered. */
+  /** Returns the number of requests that have been read and not answered. */
   int inFlight() {
-    return busy.size();
+    return busyEndPoints.size();
   }
 
-  /** Tells whether a request of a connection has been read and not answered. */
+  /** Returns whether a request of a connection has been read and not answered. */
   boolean isBusy(EndPoint endPoint) {
-    return busy.contains(endPoint);
+    return busyEndPoints.contains(endPoint);
   }
 
   private static EndPoint endPointOf(Request request) {
@@ -68,7 +68,7 @@
 
   @Override
   public boolean handle(Request request, Response response, Callback callback) {
-    UpperTime arrived = arrivalOf(request);
+    UpperTime arrived = earliestArrival(request);
     Optional<RoutingConfiguration> configuration = services.state().current().configuration();
     if (configuration.isPresent()) {
       route(request, response, callback, configuration.get(), arrived);
@@ -78,7 +78,7 @@
         () ->
             refuse(
                 request, response, CallerResponseWriter.UNAVAILABLE, "no_configuration", callback);
-    boolean held = early.hold(() -> go(request, response, callback, arrived), refusal);
+    boolean held = startupBuffer.hold(() -> resume(request, response, callback, arrived), refusal);
     if (!held) {
       refusal.run();
     }
@@ -86,16 +86,16 @@
   }
 
   /** Returns the earliest time at which the request may have reached this host. */
-  private UpperTime arrivalOf(Request request) {
+  private UpperTime earliestArrival(Request request) {
     UpperTime now = services.clock().upper();
     if (endPointOf(request) instanceof CallerEndPoint caller) {
       UpperTime arrived = caller.arrivedAfter(request.getBeginNanoTime());
-      return arrived.latest(now.minusMs(LONGEST_WAIT_MS));
+      return arrived.latest(now.minusMs(MAX_CALLER_WAIT_MS));
     }
     return now;
   }
 
-  private void go(Request request, Response response, Callback callback, UpperTime arrived) {
+  private void resume(Request request, Response response, Callback callback, UpperTime arrived) {
     RoutingConfiguration configuration = services.state().current().configuration().orElseThrow();
     route(request, response, callback, configuration, arrived);
   }
@@ -112,7 +112,7 @@
       refuseUnknown(request, response, callback);
       return;
     }
-    if (services.clock().upper().sinceMs(arrived) >= timeMs(request, route.get())) {
+    if (services.clock().upper().sinceMs(arrived) >= timeLimitMs(request, route.get())) {
       refuse(request, response, CallerResponseWriter.UNAVAILABLE, "read_too_late", callback);
       return;
     }
@@ -120,7 +120,7 @@
       refuse(request, response, CallerResponseWriter.TOO_LARGE, "body_too_large", callback);
       return;
     }
-    busy.add(endPointOf(request));
+    busyEndPoints.add(endPointOf(request));
     if (hasBody(request)) {
       readBody(request, response, callback, configuration, route.get(), arrived);
     } else {
@@ -128,7 +128,7 @@
     }
   }
 
-  /** What may be in force elsewhere is not denied here. */
+  /** Responds with 404 only if the configuration is current: a newer one may have the route. */
   private void refuseUnknown(Request request, Response response, Callback callback) {
     if (services.state().isConfigurationCurrent(services.clock().upper())) {
       refuse(request, response, CallerResponseWriter.NOT_FOUND, "no_route", callback);
@@ -156,7 +156,7 @@
               if (failure == null) {
                 begin(request, response, callback, configuration, route, arrived, body);
               } else {
-                busy.remove(endPointOf(request));
+                busyEndPoints.remove(endPointOf(request));
                 callback.failed(failure);
               }
             });
@@ -176,12 +176,12 @@
     if (configuration.isKeyed(service)) {
       key = keyOf(request);
       if (key.isEmpty()) {
-        busy.remove(endPointOf(request));
+        busyEndPoints.remove(endPointOf(request));
         refuse(request, response, CallerResponseWriter.BAD_REQUEST, "no_key", callback);
         return;
       }
     }
-    long timeMs = timeMs(request, route);
+    long timeLimitMs = timeLimitMs(request, route);
     long arrivedMs = services.clock().nowMs() - services.clock().upper().sinceMs(arrived);
     CallerRequest call =
         new CallerRequest(
@@ -196,11 +196,11 @@
             CallerHeaders.passedOn(request.getHeaders()),
             body,
             arrivedMs,
-            arrivedMs + timeMs,
-            arrived.plusMs(timeMs),
+            arrivedMs + timeLimitMs,
+            arrived.plusMs(timeLimitMs),
             configuration.version());
     EndPoint endPoint = endPointOf(request);
-    new GatewayExchange(services, call, () -> busy.remove(endPoint)).start();
+    new GatewayExchange(services, call, () -> busyEndPoints.remove(endPoint)).start();
   }
 
   private static RequestIdentity identityOf(Request request, OptionalInt key, byte[] body) {
@@ -222,24 +222,24 @@
     try {
       int key = Integer.parseInt(text.trim());
       return key >= 0 && key < KEY_LIMIT ? OptionalInt.of(key) : OptionalInt.empty();
-    } catch (NumberFormatException noNumber) {
+    } catch (NumberFormatException notANumber) {
       return OptionalInt.empty();
     }
   }
 
-  /** Returns how long after its arrival a request has to be answered; milliseconds. */
-  private long timeMs(Request request, Route route) {
-    return Math.min(route.timeoutMs(), callerTimeMs(request, route));
+  /** Returns the time in milliseconds, from its arrival, in which a request has to be answered. */
+  private long timeLimitMs(Request request, Route route) {
+    return Math.min(route.timeoutMs(), callerTimeLimitMs(request, route));
   }
 
-  private long callerTimeMs(Request request, Route route) {
+  private long callerTimeLimitMs(Request request, Route route) {
     String text = request.getHeaders().get(services.headers().deadlineMs());
     if (text == null) {
       return route.timeoutMs();
     }
     try {
       return Math.max(1, Long.parseLong(text.trim()));
-    } catch (NumberFormatException noNumber) {
+    } catch (NumberFormatException notANumber) {
       return route.timeoutMs();
     }
   }
@@ -257,7 +257,7 @@
             status,
             reason);
     long retryAfterMs = status == CallerResponseWriter.UNAVAILABLE ? RETRY_AFTER_MS : 0;
-    boolean closes = services.stopping().getAsBoolean();
-    CallerResponseWriter.own(response, status, retryAfterMs, closes, callback);
+    boolean closeConnection = services.stopping().getAsBoolean();
+    CallerResponseWriter.writeEmpty(response, status, retryAfterMs, closeConnection, callback);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayServer.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayServer.java
@@ -92,16 +92,21 @@
             new TargetClientLimits(
                 CONNECT_TIMEOUT_MS, TARGET_IDLE_MS, MAX_HEADER_BYTES, TARGET_THREADS, true),
             address -> Integer.MAX_VALUE);
-    KeyLoadMeter keyWork = new KeyLoadMeter();
+    KeyLoadMeter keyLoad = new KeyLoadMeter();
     TargetQuotas quotas = new TargetQuotas(clock, log, timers, random.split());
-    TargetBackoffs rests = new TargetBackoffs(clock, timers, random.split(), log);
+    TargetBackoffs backoffs = new TargetBackoffs(clock, timers, random.split(), log);
     TargetDepartures departures = new TargetDepartures(state);
     Dispatcher dispatcher =
         new Dispatcher(
-            state, new DataCentreId(settings.dataCentre()), clock, random.split(), quotas, rests);
-    rests.onBegin(dispatcher::onBackoff);
+            state,
+            new DataCentreId(settings.dataCentre()),
+            clock,
+            random.split(),
+            quotas,
+            backoffs);
+    backoffs.onStart(dispatcher::onBackoff);
     RequestQuarantine quarantine = new RequestQuarantine(clock);
-    CrashDetector witness = new CrashDetector(state, probe, timers, clock);
+    CrashDetector crashDetector = new CrashDetector(state, probe, timers, clock);
     ExchangeServices services =
         new ExchangeServices(
             state,
@@ -109,13 +114,13 @@
             new SendGate(clock),
             departures,
             quotas,
-            new SignalReader(answers, quotas, rests, departures, unknownFields, log),
-            rests,
+            new SignalReader(answers, quotas, backoffs, departures, unknownFields, log),
+            backoffs,
             client,
             new RetryBudgets(settings, clock),
             quarantine,
-            witness,
-            keyWork,
+            crashDetector,
+            keyLoad,
             timers,
             clock,
             settings.headers(),
@@ -123,7 +128,8 @@
             metrics,
             stopping);
     this.reports =
-        new TrafficReports(keyWork, dispatcher, quotas, rests, departures, quarantine, witness);
+        new TrafficReports(
+            keyLoad, dispatcher, quotas, backoffs, departures, quarantine, crashDetector);
     this.handler = new GatewayHandler(services, random.split());
     this.server = new Server(new DaemonThreadPool("caller", MAX_THREADS, MIN_THREADS));
     this.callers = connector(settings.callerAddress(), clock);
@@ -151,7 +157,7 @@
     page.addGauge(
         "cuminvalve_resting_targets",
         "Targets that have asked this gateway for rest.",
-        () -> rests.all().size());
+        () -> backoffs.remainingMsByTarget().size());
   }
 
   /** Few connections: one thread accepts and reads them. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Handover.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Handover.java
@@ -3,10 +3,10 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Settles once whether the bytes of an attempt go to the target.
+ * Decides exactly once whether a request is sent to the target.
  *
- * <p>Whoever tells a caller that its request did not run has to rule out that another thread hands
- * it over a moment later. Safe for use by several threads.
+ * <p>A thread that tells the caller that its request did not run must be sure that no other thread
+ * sends it afterwards. Thread-safe.
  */
 final class Handover {
 
@@ -18,12 +18,12 @@
 
   private final AtomicReference<State> state = new AtomicReference<>(State.OPEN);
 
-  /** Claims that the first byte is about to be written. Tells whether it may be. */
+  /** Begins sending. Returns false if sending was prevented. */
   boolean begin() {
     return state.compareAndSet(State.OPEN, State.BEGUN) || state.get() == State.BEGUN;
   }
 
-  /** Makes sure that no byte is ever written. Tells whether that still was possible. */
+  /** Prevents sending. Returns false if it has already begun. */
   boolean prevent() {
     return state.compareAndSet(State.OPEN, State.PREVENTED) || state.get() == State.PREVENTED;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/KeyLoadMeter.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/KeyLoadMeter.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * Sums up the work that keys cause until it is reported.
+ * Accumulates the load of keys between two reports.
  *
  * @since 0.2
  */
@@ -17,11 +17,11 @@
   private Map<ServiceId, ServiceWork> workByService = new HashMap<>();
 
   /**
-   * Adds the time of one request.
+   * Adds the duration of one request.
    *
    * @param service the service; not null
    * @param key the key
-   * @param tookMs milliseconds from sending it to its answer
+   * @param tookMs milliseconds from sending the request to its response
    */
   public synchronized void add(ServiceId service, int key, long tookMs) {
     ServiceWork work = workByService.computeIfAbsent(service, id -> new ServiceWork());
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Takes what has been added since the last call.
+   * Returns the load added since the last call.
    *
-   * @return one report for each service with work; never null
+   * @return one report for each service with load; never null
    */
   public List<KeyLoadReport> take() {
     Map<ServiceId, ServiceWork> taken;
@@ -57,7 +57,7 @@
     return new KeyLoadReport(service, keys, values, work.requests);
   }
 
-  /** The work of one service since the last report. */
+  /** The load of one service since the last report. */
   private static final class ServiceWork {
 
     private final Map<Integer, Integer> byKeyMs = new HashMap<>();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/KeyOwners.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/KeyOwners.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * Finds the owner of a key.
+ * Maps the keys of a service to the ranges of their owners.
  *
  * @since 0.2
  */
@@ -14,19 +14,19 @@
   private final List<RangeRoute> ranges;
 
   /**
-   * Creates a look-up.
+   * Creates a lookup table.
    *
-   * @param ranges in the order of keys, without overlaps; not null
+   * @param ranges the ranges, sorted by key and without overlaps; not null
    */
   public KeyOwners(List<RangeRoute> ranges) {
     this.ranges = List.copyOf(ranges);
   }
 
   /**
-   * Finds the range of a key.
+   * Finds the range that contains a key.
    *
    * @param key the key
-   * @return empty if nobody is to own it
+   * @return empty if no owner is assigned to it
    */
   public Optional<RangeRoute> find(int key) {
     int low = 0;
@@ -46,7 +46,7 @@
   }
 
   /**
-   * Counts the keys whose owner has no lease.
+   * Returns the number of keys whose owner has no lease.
    *
    * @return at least 0
    */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/MetricsHandler.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/MetricsHandler.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Answers every request on the metrics' own port with the metrics. */
+/** Serves the metrics page on the metrics port; passes other requests on. */
 final class MetricsHandler extends Handler.Wrapper {
 
   private static final String TEXT_FORMAT = "text/plain; version=0.0.4; charset=utf-8";
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/OwnersVersion.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/OwnersVersion.java
@@ -1,15 +1,15 @@
 package io.cuminvalve.gateway.traffic;
 
 /**
- * Tells states of the owners of keys apart.
+ * Identifies one state of the owners of keys.
  *
- * @param term the term of the holder that told them; 0 if they were read from the store
- * @param number grows within a term
+ * @param term the term of the holder that reported them; 0 if they were read from the store
+ * @param number increases within a term
  * @since 0.2
  */
 public record OwnersVersion(long term, long number) {
 
-  /** Nothing is known of the owners. */
+  /** The owners are unknown. */
   public static final OwnersVersion NONE = new OwnersVersion(-1, 0);
 
   @Override
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ReadinessHandler.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ReadinessHandler.java
@@ -30,7 +30,7 @@
     }
     boolean known = path.equals(request.getHttpURI().getPath());
     int status = ready.getAsBoolean() ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503;
-    CallerResponseWriter.own(
+    CallerResponseWriter.writeEmpty(
         response, known ? status : HttpStatus.NOT_FOUND_404, 0, false, callback);
     return true;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestFacts.java
@@ -12,17 +12,19 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What this gateway knows, at the first byte, of all that may forbid it to send a request.
+ * Evaluates the conditions for sending a request, right before its first byte is written.
  *
- * <p>What the registry and the configuration say may be old while the store answers nobody: targets
- * that leave, and operators, cannot tell it either then.
+ * <p>While the store is unavailable, targets and configuration may be of any age: leaving targets
+ * and operators cannot write to the store either.
  */
 final class RequestFacts implements SendFacts {
 
-  /** A target may take requests for 2 s after it has said that it leaves; the way takes some. */
+  /**
+   * A target accepts requests for 2 s after it announces that it leaves; 50 ms allow for delays.
+   */
   static final long TARGETS_MAX_AGE_MS = 1_950;
 
-  /** Permits that were held up would all be used at once. */
+  /** Without a maximum age, permits that were delayed would all be used at once. */
   static final long PERMIT_MAX_AGE_MS = 500;
 
   private static final long UNBOUNDED_MS = Long.MAX_VALUE;
@@ -36,11 +38,11 @@
   /**
    * Creates the facts of one attempt.
    *
-   * @param services where knowledge is kept; not null
+   * @param services the services that hold the state; not null
    * @param call the request; not null
-   * @param slot where it goes; not null
-   * @param runsBefore at how many targets it may have run before
-   * @param open whether nobody has given the attempt up; not null
+   * @param slot the slot at the target; not null
+   * @param runsBefore the number of targets on which the request may have run before
+   * @param open returns whether the attempt has not been abandoned; not null
    */
   RequestFacts(
       ExchangeServices services,
@@ -63,7 +65,7 @@
       case TIME_LEFT -> SendFact.local(call.deadline().sinceMs(now) > 0, now);
       case TARGET_RUNS -> SendFact.local(!services.dispatcher().isReplaced(target), now);
       case TARGET_SERVES -> targetServes(target);
-      case TARGET_RESTED -> SendFact.local(services.rests().leftMs(target) == 0, now);
+      case TARGET_RESTED -> SendFact.local(services.backoffs().remainingMs(target) == 0, now);
       case LIMIT_KEPT -> limitKept(target, now);
       case QUARANTINE_CLEAR ->
           SendFact.local(services.quarantine().refusedForMs(call.identity(), runsBefore) == 0, now);
@@ -71,12 +73,12 @@
       case ROUTE_IN_FORCE -> routeInForce();
       case CALLER_PRESENT -> SendFact.local(call.isCallerPresent(), now);
       case TERM_HELD, DECISION_RECENT ->
-          throw new IllegalArgumentException("no condition of a request: " + condition);
+          throw new IllegalArgumentException("condition does not apply to requests: " + condition);
     };
   }
 
   private SendFact targetServes(TargetId target) {
-    // Read before the targets: a change in between may make them newer than this says, not older.
+    // Read before the targets: a concurrent change can only make them newer than this time.
     UpperTime asOf = services.state().targetsConfirmed();
     boolean serves =
         services.state().current().target(target).filter(FleetTarget::isReady).isPresent()
@@ -86,7 +88,7 @@
 
   private SendFact limitKept(TargetId target, UpperTime now) {
     return services.quotas().isLimited(target)
-        ? SendFact.heard(true, slot.givenAt(), PERMIT_MAX_AGE_MS)
+        ? SendFact.heard(true, slot.assignedAt(), PERMIT_MAX_AGE_MS)
         : SendFact.local(true, now);
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestQuarantine.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestQuarantine.java
@@ -10,28 +10,28 @@
 import java.util.function.Consumer;
 
 /**
- * Tells traffic which requests to send to no target, and finds out which of those under suspicion
- * are answered after all.
+ * Holds back requests that are suspected of crashing targets, and detects which of them are
+ * answered after all.
  *
- * <p>Set by the control thread, read by all.
+ * <p>Updated by the control thread, read by any thread.
  *
  * @since 0.2
  */
 public final class RequestQuarantine {
 
-  /** By then a trial is answered, or the end of its target is known. */
-  private static final long TRIAL_MS = 5_000;
+  /** Within this time a trial is answered, or the crash of its target is known. */
+  private static final long TRIAL_TIMEOUT_MS = 5_000;
 
   private final MillisClock clock;
   private final Map<RequestFingerprint, Long> trialEndsMs = new HashMap<>();
-  private final RecentResponses answers = new RecentResponses();
+  private final RecentResponses responses = new RecentResponses();
   private final SuspectTrials suspects;
   private volatile Map<RequestFingerprint, Long> untilMs = Map.of();
   private volatile Set<RequestFingerprint> watched = Set.of();
   private volatile Consumer<RequestFingerprint> onAnswered = fingerprint -> {};
 
   /**
-   * Creates a quarantine of no request.
+   * Creates an empty quarantine.
    *
    * @param clock the time; not null
    */
@@ -41,11 +41,11 @@
   }
 
   /**
-   * Replaces what is known.
+   * Replaces the quarantined and the watched requests.
    *
-   * @param nextUntilMs until when requests are sent to no target, also if that is over and only a
-   *     trial may be sent; milliseconds; not null
-   * @param nextWatched requests whose answers matter; not null
+   * @param nextUntilMs when the quarantine of each request ends; includes requests whose quarantine
+   *     is over, of which only a trial may be sent; milliseconds; not null
+   * @param nextWatched the requests whose responses are reported; not null
    */
   public void install(
       Map<RequestFingerprint, Long> nextUntilMs, Set<RequestFingerprint> nextWatched) {
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Sets who asks the holder of the term for a permit to send a request that is watched.
+   * Sets the listener that asks the holder of the term for a permit to send a watched request.
    *
    * @param listener called on any thread; must not block; not null
    */
@@ -67,16 +67,16 @@
   }
 
   /**
-   * The holder permits one request that is watched to be sent.
+   * Permits one watched request to be sent, as granted by the holder.
    *
-   * @param fingerprint the request's; not null
+   * @param fingerprint the fingerprint of the request; not null
    */
   public void permitTrial(RequestFingerprint fingerprint) {
     suspects.permit(fingerprint);
   }
 
   /**
-   * Sets who is told of answers to requests that are watched.
+   * Sets the listener for responses to watched requests.
    *
    * @param listener called on any thread; must not block; not null
    */
@@ -87,15 +87,15 @@
   /**
    * Returns when a request was last answered through this gateway.
    *
-   * @param fingerprint the request's; not null
-   * @return a time of the clock, milliseconds; empty if that is not known
+   * @param fingerprint the fingerprint of the request; not null
+   * @return a time of the clock in milliseconds; empty if unknown
    */
   public OptionalLong lastAnsweredMs(RequestFingerprint fingerprint) {
-    return answers.lastMs(fingerprint);
+    return responses.lastMs(fingerprint);
   }
 
   /**
-   * Returns how many requests are in quarantine or on probation.
+   * Returns the number of requests that are quarantined or only sent as a trial.
    *
    * @return at least 0
    */
@@ -104,10 +104,11 @@
   }
 
   /**
-   * Decides on a request that has just arrived. The first one after a quarantine is let through as
-   * a trial; others wait for how it goes. One that is watched is sent when the holder lets it.
+   * Decides on a request that has just arrived. After a quarantine the first request is admitted as
+   * a trial and others are held back until its result is known. A watched request is admitted with
+   * a permit of the holder.
    *
-   * @return for how long it is sent to no target; milliseconds, 0 if it may be sent
+   * @return for how long the request is held back; milliseconds, 0 if it may be sent
    */
   long admit(RequestIdentity identity) {
     if (watched.isEmpty() && untilMs.isEmpty()) {
@@ -116,32 +117,32 @@
     long refusedMs = refusedForMs(identity);
     return refusedMs > 0
         ? refusedMs
-        : Math.max(tryOne(identity.content()), tryOne(identity.contentAndCaller()));
+        : Math.max(admitTrial(identity.content()), admitTrial(identity.contentAndCaller()));
   }
 
   private boolean isSuspect(RequestFingerprint fingerprint) {
     return watched.contains(fingerprint) && !untilMs.containsKey(fingerprint);
   }
 
-  private long tryOne(RequestFingerprint fingerprint) {
+  private long admitTrial(RequestFingerprint fingerprint) {
     if (isSuspect(fingerprint)) {
       return suspects.take(fingerprint);
     }
-    return untilMs.containsKey(fingerprint) ? tryAfterQuarantine(fingerprint) : 0;
+    return untilMs.containsKey(fingerprint) ? admitTrialAfterQuarantine(fingerprint) : 0;
   }
 
-  private synchronized long tryAfterQuarantine(RequestFingerprint fingerprint) {
-    long leftMs = leftMs(trialEndsMs.get(fingerprint));
-    if (leftMs == 0) {
-      trialEndsMs.put(fingerprint, clock.nowMs() + TRIAL_MS);
+  private synchronized long admitTrialAfterQuarantine(RequestFingerprint fingerprint) {
+    long remainingMs = remainingMs(trialEndsMs.get(fingerprint));
+    if (remainingMs == 0) {
+      trialEndsMs.put(fingerprint, clock.nowMs() + TRIAL_TIMEOUT_MS);
     }
-    return leftMs;
+    return remainingMs;
   }
 
   /**
-   * Returns for how long a request is sent to no target.
+   * Returns for how long a request is held back.
    *
-   * @param identity by what it is recognised; not null
+   * @param identity the identity of the request; not null
    * @return milliseconds; 0 if it may be sent
    */
   public long refusedForMs(RequestIdentity identity) {
@@ -150,48 +151,52 @@
       return 0;
     }
     return Math.max(
-        leftMs(known.get(identity.content())), leftMs(known.get(identity.contentAndCaller())));
+        remainingMs(known.get(identity.content())),
+        remainingMs(known.get(identity.contentAndCaller())));
   }
 
   /**
-   * Returns for how long a request is sent to no further target.
+   * Returns for how long a request is held back, also considering its earlier attempts.
    *
-   * @param identity by what it is recognised; not null
-   * @param runs at how many targets it may have run; a trial is not sent to another one
+   * @param identity the identity of the request; not null
+   * @param runs the number of targets on which it may have run; a trial is not sent to another one
    * @return milliseconds; 0 if it may be sent
    */
   long refusedForMs(RequestIdentity identity, int runs) {
-    return runs == 0 ? refusedForMs(identity) : refusedForMsAfterBreak(identity);
+    return runs == 0 ? refusedForMs(identity) : refusedForMsAfterFailure(identity);
   }
 
-  /** The same for one that has just broken off at a target: a trial is not sent to another one. */
-  long refusedForMsAfterBreak(RequestIdentity identity) {
+  /**
+   * Returns for how long a request is held back after its connection to a target broke. A trial is
+   * not sent to another target.
+   */
+  long refusedForMsAfterFailure(RequestIdentity identity) {
     Map<RequestFingerprint, Long> known = untilMs;
     boolean tried =
         known.containsKey(identity.content())
             || known.containsKey(identity.contentAndCaller())
             || isSuspect(identity.content())
             || isSuspect(identity.contentAndCaller());
-    return tried ? Math.max(TRIAL_MS, refusedForMs(identity)) : 0;
+    return tried ? Math.max(TRIAL_TIMEOUT_MS, refusedForMs(identity)) : 0;
   }
 
-  private long leftMs(Long endMs) {
+  private long remainingMs(Long endMs) {
     return endMs == null ? 0 : Math.max(0, endMs - clock.nowMs());
   }
 
   /**
-   * A target ran a request and answered it.
+   * Records that a target ran and answered a request.
    *
-   * @param identity by what it is recognised; not null
+   * @param identity the identity of the request; not null
    */
   public void onAnswer(RequestIdentity identity) {
     long nowMs = clock.nowMs();
-    noteAnswer(identity.content(), nowMs);
-    noteAnswer(identity.contentAndCaller(), nowMs);
+    recordResponse(identity.content(), nowMs);
+    recordResponse(identity.contentAndCaller(), nowMs);
   }
 
-  private void noteAnswer(RequestFingerprint fingerprint, long nowMs) {
-    answers.add(fingerprint, nowMs);
+  private void recordResponse(RequestFingerprint fingerprint, long nowMs) {
+    responses.add(fingerprint, nowMs);
     if (watched.contains(fingerprint)) {
       onAnswered.accept(fingerprint);
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RoutingSnapshot.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RoutingSnapshot.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 
 /**
- * All that routing has to know at one moment. Immutable.
+ * An immutable snapshot of the state that routing needs.
  *
  * @since 0.2
  */
@@ -45,9 +45,9 @@
   }
 
   /**
-   * Returns what a process knows at its start.
+   * Returns the snapshot of a process that has just started.
    *
-   * @param processes how many gateways are assumed to run
+   * @param processes the assumed number of gateways
    * @return never null
    */
   public static RoutingSnapshot initial(int processes) {
@@ -77,9 +77,10 @@
   }
 
   /**
-   * Returns a snapshot with other targets that have said that they leave, whatever is registered.
+   * Returns a snapshot with another set of targets that announced in a response that they leave,
+   * whatever the registry says of them.
    *
-   * @param next all of them; not null
+   * @param next all leaving targets; not null
    * @return never null
    */
   public RoutingSnapshot withLeaving(Set<TargetId> next) {
@@ -101,7 +102,7 @@
         configuration, nextLeaving, byId, ready, owners, ownersVersion, processes);
   }
 
-  /** A run never takes requests again: whoever says so knows less. */
+  /** A run that left never becomes ready again; a source that says so is older. */
   private boolean isLeaving(TargetId id) {
     FleetTarget known = targets.get(id);
     return known != null && !known.isReady();
@@ -111,7 +112,7 @@
    * Returns a snapshot with other owners.
    *
    * @param next the owners of each service; not null
-   * @param version tells this state of the owners apart from others; not null
+   * @param version identifies this state of the owners; not null
    * @return never null
    */
   public RoutingSnapshot withOwners(Map<ServiceId, KeyOwners> next, OwnersVersion version) {
@@ -122,7 +123,7 @@
   /**
    * Returns a snapshot with another number of gateways.
    *
-   * @param next how many run; at least 1
+   * @param next the number of running gateways; at least 1
    * @return never null
    */
   public RoutingSnapshot withProcesses(int next) {
@@ -140,7 +141,7 @@
   }
 
   /**
-   * Returns the targets that take requests.
+   * Returns the targets of a service that accept requests.
    *
    * @param service the service; not null
    * @return never null
@@ -160,7 +161,7 @@
   }
 
   /**
-   * Returns the runs of targets that have said in an answer that they leave.
+   * Returns the runs of targets that announced in a response that they leave.
    *
    * @return never null
    */
@@ -181,23 +182,23 @@
    * Returns the owners of the keys of a service.
    *
    * @param service the service; not null
-   * @return empty if they are not known
+   * @return empty if they are unknown
    */
   public Optional<KeyOwners> owners(ServiceId service) {
     return Optional.ofNullable(owners.get(service));
   }
 
   /**
-   * Returns which state of the owners this is.
+   * Returns the version of the owners.
    *
-   * @return differs whenever owners differ; never null
+   * @return a version that differs whenever the owners differ; never null
    */
   public OwnersVersion ownersVersion() {
     return ownersVersion;
   }
 
   /**
-   * Returns how many keys of all services have an owner without a lease.
+   * Returns the number of keys of all services whose owner has no lease.
    *
    * @return at least 0
    */
@@ -206,7 +207,7 @@
   }
 
   /**
-   * Returns how many gateways run.
+   * Returns the number of running gateways.
    *
    * @return at least 1
    */
@@ -215,7 +216,7 @@
   }
 
   /**
-   * Tells whether requests can be served.
+   * Returns whether requests can be served.
    *
    * @return false while the configuration or the targets are unknown
    */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RoutingState.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RoutingState.java
@@ -10,7 +10,7 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The newest {@link RoutingSnapshot}. Changed by the control thread, read by all.
+ * Holds the current {@link RoutingSnapshot}. Written by the control thread, read by any thread.
  *
  * @since 0.2
  */
@@ -25,16 +25,16 @@
   private volatile BooleanSupplier storeSilent = () -> false;
 
   /**
-   * Creates the state of a process that knows nothing.
+   * Creates a state without configuration, targets and owners.
    *
-   * @param processes how many gateways are assumed to run
+   * @param processes the assumed number of gateways
    */
   public RoutingState(int processes) {
     this.snapshot = RoutingSnapshot.initial(processes);
   }
 
   /**
-   * Returns the newest snapshot.
+   * Returns the current snapshot.
    *
    * @return never null
    */
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Replaces the snapshot and tells the listeners. For the control thread only.
+   * Replaces the snapshot and notifies the listeners. For the control thread only.
    *
-   * @param change makes the next snapshot from the last one; not null
+   * @param change computes the next snapshot from the current one; not null
    */
   public void update(UnaryOperator<RoutingSnapshot> change) {
     snapshot = change.apply(snapshot);
@@ -53,7 +53,7 @@
   }
 
   /**
-   * Notes that the targets known were those of the registry at a time.
+   * Records that the known targets matched the registry at the given time.
    *
    * @param at the time; not null
    */
@@ -62,23 +62,23 @@
   }
 
   /**
-   * Returns when the targets known were last those of the registry.
+   * Returns when the known targets last matched the registry.
    *
-   * @return {@link UpperTime#NEVER} if they never were; never null
+   * @return {@link UpperTime#NEVER} if they never did; never null
    */
   public UpperTime targetsConfirmed() {
     return targetsConfirmed;
   }
 
   /**
-   * Sets who knows how old the configuration is and whether the store answers this process.
+   * Sets the sources for the age of the configuration and the availability of the store.
    *
-   * @param confirmed returns when the configuration known was last the newest one; for any thread;
-   *     not null
-   * @param maxAgeMs returns for how long the configuration may go without that; milliseconds; for
-   *     any thread; not null
-   * @param silent tells whether the store has refused, or left without an answer, what this process
-   *     asked last; for any thread; not null
+   * @param confirmed returns when the known configuration was last confirmed as the newest one;
+   *     called on any thread; not null
+   * @param maxAgeMs returns how long the configuration may go without confirmation; milliseconds;
+   *     called on any thread; not null
+   * @param silent returns whether the store refused or did not answer the last call of this
+   *     process; called on any thread; not null
    */
   public void watch(Supplier<UpperTime> confirmed, LongSupplier maxAgeMs, BooleanSupplier silent) {
     configurationConfirmed = confirmed;
@@ -87,7 +87,7 @@
   }
 
   /**
-   * Returns when the configuration known was last the newest one.
+   * Returns when the known configuration was last confirmed as the newest one.
    *
    * @return {@link UpperTime#NEVER} if it never was; never null
    */
@@ -96,7 +96,7 @@
   }
 
   /**
-   * Returns for how long the configuration may go without being confirmed.
+   * Returns how long the configuration may go without confirmation.
    *
    * @return milliseconds
    */
@@ -105,26 +105,27 @@
   }
 
   /**
-   * Tells whether the configuration known has to be the newest one, as far as the store answers.
+   * Returns whether the known configuration counts as the newest one. While the store is
+   * unavailable it does, whatever its age, since it cannot be confirmed.
    *
    * @param now the time; not null
-   * @return false if a newer one may have to be in force
+   * @return false if a newer configuration may be in force
    */
   public boolean isConfigurationCurrent(UpperTime now) {
     return now.sinceMs(configurationConfirmed()) <= configurationMaxAgeMs() || isStoreSilent();
   }
 
   /**
-   * Tells whether the store has refused, or left without an answer, what this process asked last.
+   * Returns whether the store refused or did not answer the last call of this process.
    *
-   * @return false also if nothing was asked
+   * @return false also if there was no call
    */
   public boolean isStoreSilent() {
     return storeSilent.getAsBoolean();
   }
 
   /**
-   * Notes whether keys can move: a move has to be written in the store first.
+   * Records whether keys can move. A move has to be written to the store first.
    *
    * @param possible whether the store answers the holder of the term
    * @param nowMs the time; milliseconds
@@ -138,7 +139,7 @@
   }
 
   /**
-   * Returns since when no key can move.
+   * Returns the time since which no key can move.
    *
    * @return a time of the clock, milliseconds; empty if keys can move
    */
@@ -147,7 +148,7 @@
   }
 
   /**
-   * Adds a listener, which is called on the control thread after each change.
+   * Adds a listener that is called on the control thread after each change.
    *
    * @param listener must not block; not null
    */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SignalReader.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SignalReader.java
@@ -17,7 +17,7 @@
 
   private final AnswerDecoder decoder;
   private final TargetQuotas quotas;
-  private final TargetBackoffs rests;
+  private final TargetBackoffs backoffs;
   private final TargetDepartures departures;
   private final UnknownFields unknownFields;
   private final DecisionLog log;
@@ -25,13 +25,13 @@
   SignalReader(
       AnswerDecoder decoder,
       TargetQuotas quotas,
-      TargetBackoffs rests,
+      TargetBackoffs backoffs,
       TargetDepartures departures,
       UnknownFields unknownFields,
       DecisionLog log) {
     this.decoder = decoder;
     this.quotas = quotas;
-    this.rests = rests;
+    this.backoffs = backoffs;
     this.departures = departures;
     this.unknownFields = unknownFields;
     this.log = log;
@@ -61,6 +61,6 @@
     if (signals.leaving()) {
       departures.onLeaving(target);
     }
-    signals.backoffMs().ifPresent(backoffMs -> rests.ask(answering, backoffMs));
+    signals.backoffMs().ifPresent(backoffMs -> backoffs.start(answering, backoffMs));
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Slot.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Slot.java
@@ -4,9 +4,9 @@
 import io.cuminvalve.kernel.UpperTime;
 
 /**
- * The right to have one request under way at a target.
+ * Permission to have one request in flight at a target.
  *
- * @param target where it may go; not null
- * @param givenAt when that was decided; not null
+ * @param target the target; not null
+ * @param assignedAt when the slot was assigned; not null
  */
-record Slot(FleetTarget target, UpperTime givenAt) {}
+record Slot(FleetTarget target, UpperTime assignedAt) {}
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SlotRequest.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SlotRequest.java
@@ -8,16 +8,16 @@
 import java.util.OptionalInt;
 import java.util.Set;
 
-/** A request that wants a slot at a target. */
+/** A request that waits for a slot at a target. */
 final class SlotRequest {
 
-  /** Hears how it went, at most once for each time the wish is submitted. */
+  /** Receives the result, at most once per submission. */
   interface Listener {
 
-    /** There is a slot. */
+    /** A slot was assigned. */
     void onPlaced(Slot slot);
 
-    /** There will be none in time: targets take no more for now. */
+    /** No slot will be free in time: the targets accept no more requests for now. */
     void onRefused(TargetRefusal refusal);
   }
 
@@ -28,8 +28,8 @@
   private final Listener listener;
   private final Set<TargetId> tried = new HashSet<>();
   private long order;
-  private volatile OptionalInt answerBytes = OptionalInt.empty();
-  private OwnersVersion placedUnder = OwnersVersion.NONE;
+  private volatile OptionalInt responseBytes = OptionalInt.empty();
+  private OwnersVersion assignedUnder = OwnersVersion.NONE;
   private Optional<OwnersVersion> avoided = Optional.empty();
 
   SlotRequest(Route route, ServiceId service, OptionalInt key, int bodyBytes, Listener listener) {
@@ -52,19 +52,19 @@
     return key;
   }
 
-  /** Returns the size of the body; bytes. */
+  /** Returns the size of the request body in bytes. */
   int bodyBytes() {
     return bodyBytes;
   }
 
-  /** Notes the size of a whole answer; bytes. */
-  void answered(int bytes) {
-    answerBytes = OptionalInt.of(bytes);
+  /** Sets the size of the complete response body in bytes. */
+  void setResponseBytes(int bytes) {
+    responseBytes = OptionalInt.of(bytes);
   }
 
-  /** Returns the size of the answer, if there is one; bytes. */
-  OptionalInt answerBytes() {
-    return answerBytes;
+  /** Returns the size of the response body in bytes; empty if there is no response. */
+  OptionalInt responseBytes() {
+    return responseBytes;
   }
 
   Set<TargetId> tried() {
@@ -79,17 +79,17 @@
     order = value;
   }
 
-  /** Notes by which state of the owners it was placed. */
-  void placedUnder(OwnersVersion version) {
-    placedUnder = version;
+  /** Records the version of the owners by which the slot was assigned. */
+  void assignedUnder(OwnersVersion version) {
+    assignedUnder = version;
   }
 
-  /** What was known of the owners was wrong: wait for something newer. */
-  void avoidOwnersUsed() {
-    avoided = Optional.of(placedUnder);
+  /** Waits for owners newer than those of the last assignment, which proved wrong. */
+  void avoidCurrentOwners() {
+    avoided = Optional.of(assignedUnder);
   }
 
-  /** Nothing newer came: ask the same owner again. */
+  /** Allows the owner tried before again, since no newer owners became known. */
   void acceptAnyOwner() {
     avoided = Optional.empty();
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/StartupRequestBuffer.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/StartupRequestBuffer.java
@@ -5,38 +5,38 @@
 import java.util.List;
 
 /**
- * Holds requests that arrive before the first configuration, for a moment.
+ * Briefly holds requests that arrive before the first configuration.
  *
- * <p>A process that starts listens some 150 ms before it knows a configuration. Callers that are
- * refused meanwhile use up one of the few repeats that they make. Safe for use by several threads.
+ * <p>A starting process listens some 150 ms before it has a configuration. A caller that is refused
+ * in that time uses up one of its few retries. Thread-safe.
  */
 final class StartupRequestBuffer {
 
-  /** A store that answers has told the configuration by then; longer waits help nobody. */
+  /** An available store delivers the configuration in this time, so a longer wait does not help. */
   private static final long HOLD_MS = 200;
 
-  /** More than a fleet of callers sends in that time to one process. */
-  private static final int MOST_HELD = 256;
+  /** More than a fleet of callers sends to one process in that time. */
+  private static final int MAX_HELD = 256;
 
   private final Timers timers;
   private List<Held> waiting = new ArrayList<>();
-  private boolean known;
+  private boolean configured;
 
   StartupRequestBuffer(Timers timers) {
     this.timers = timers;
   }
 
   /**
-   * Holds a request unless the configuration is known, or too many wait.
+   * Holds a request unless the configuration is known or the buffer is full.
    *
-   * @param go called once the configuration is known; not null
+   * @param resume called once the configuration is known; not null
    * @param giveUp called instead if that takes too long; not null
-   * @return whether exactly one of the two will be called
+   * @return true if the request is held and exactly one of the two will be called
    */
-  boolean hold(Runnable go, Runnable giveUp) {
-    Held held = new Held(go, giveUp);
+  boolean hold(Runnable resume, Runnable giveUp) {
+    Held held = new Held(resume, giveUp);
     synchronized (this) {
-      if (known || waiting.size() >= MOST_HELD) {
+      if (configured || waiting.size() >= MAX_HELD) {
         return false;
       }
       waiting.add(held);
@@ -55,25 +55,25 @@
     }
   }
 
-  /** The configuration is known. */
+  /** Resumes all held requests, since the configuration is known. */
   void onConfiguration() {
     List<Held> released;
     synchronized (this) {
-      known = true;
+      configured = true;
       released = waiting;
       waiting = new ArrayList<>();
     }
-    released.forEach(held -> timers.schedule(held.go, 0));
+    released.forEach(held -> timers.schedule(held.resume, 0));
   }
 
-  /** One request that waits; told apart by identity. */
+  /** A held request; compared by identity. */
   private static final class Held {
 
-    private final Runnable go;
+    private final Runnable resume;
     private final Runnable giveUp;
 
-    Held(Runnable go, Runnable giveUp) {
-      this.go = go;
+    Held(Runnable resume, Runnable giveUp) {
+      this.resume = resume;
       this.giveUp = giveUp;
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
@@ -21,37 +21,38 @@
 import org.eclipse.jetty.io.Content;
 
 /**
- * One attempt to have a target run a request.
+ * One attempt to send a request to a target and to receive its response.
  *
- * <p>An answer counts only if it is whole and carries the id of this attempt: a target may answer
- * twice, or late, or send bytes that belong to no request. Whatever is odd closes the connection.
+ * <p>A response counts only if it is complete and carries the id of this attempt: a target may
+ * respond twice, late, or with bytes that belong to no request. Any other response closes the
+ * connection.
  */
 final class TargetAttempt implements TargetListener {
 
-  /** How an attempt ended. */
+  /** Receives the result of an attempt. */
   interface Listener {
 
-    /** The target answered, whole, and the request ran. */
+    /** The target ran the request and its response is complete. */
     void onAnswer(TargetAttempt attempt, int status, HttpFields headers, byte[] body);
 
-    /** The target proves that it did not run the request and never will. */
+    /** The target stated that it did not run the request and never will. */
     void onNotExecuted(TargetAttempt attempt, int status);
 
-    /** Not a byte was sent, and none will be: something forbade it at the last moment. */
+    /** The final check before the first byte failed: nothing was sent, and nothing will be. */
     void onStopped(TargetAttempt attempt, SendObstacle obstacle);
 
-    /** No usable answer. */
+    /** There was no usable response. */
     void onFailure(TargetAttempt attempt, boolean mayHaveRun, String reason);
   }
 
-  /** Answers are kept whole before they are passed on; larger ones are cut off. */
+  /** Responses are buffered completely before they are relayed; larger ones fail the attempt. */
   private static final int MAX_ANSWER_BYTES = 64 * 1024 * 1024;
 
   private static final int FIRST_ERROR_STATUS = 500;
 
   private final ExchangeServices services;
   private final CallerRequest call;
-  private final SlotRequest wish;
+  private final SlotRequest slotRequest;
   private final Slot slot;
   private final int runsBefore;
   private final Listener listener;
@@ -59,22 +60,22 @@
   private final Handover handover = new Handover();
   private final AtomicBoolean released = new AtomicBoolean();
   private final AtomicBoolean ended = new AtomicBoolean();
-  private volatile AttemptOutcome end = AttemptOutcome.GIVEN_UP;
+  private volatile AttemptOutcome outcome = AttemptOutcome.GIVEN_UP;
   private volatile long sentMs;
 
-  /** What forbade it to send the first byte. */
+  /** The send condition that failed before the first byte. */
   private volatile Optional<SendObstacle> obstacle = Optional.empty();
 
   TargetAttempt(
       ExchangeServices services,
       CallerRequest call,
-      SlotRequest wish,
+      SlotRequest slotRequest,
       Slot slot,
       int runsBefore,
       Listener listener) {
     this.services = services;
     this.call = call;
-    this.wish = wish;
+    this.slotRequest = slotRequest;
     this.slot = slot;
     this.runsBefore = runsBefore;
     this.listener = listener;
@@ -117,13 +118,13 @@
     exchange.start();
   }
 
-  /** Ends the attempt and closes its connection, so that the target stops working on it. */
+  /** Ends the attempt and closes its connection, so that the target stops processing it. */
   void abandon(String reason) {
     ended.set(true);
     exchange.abandon(reason);
   }
 
-  /** Makes sure that the target never gets the request. Tells whether that still was possible. */
+  /** Prevents the request from being sent. Returns false if sending may have begun. */
   boolean preventHandover() {
     return handover.prevent();
   }
@@ -148,8 +149,8 @@
   @Override
   public void onAnswer(TargetAnswer answer) {
     TargetSignals signals = services.signals().read(answer);
-    if (!isOurs(signals) || answer.headers().contains(HttpHeader.CONTENT_ENCODING)) {
-      exchange.abandon("the answer belongs to another request");
+    if (!isForThisAttempt(signals) || answer.headers().contains(HttpHeader.CONTENT_ENCODING)) {
+      exchange.abandon("the response belongs to another request");
       fail(true, "foreign_answer");
       return;
     }
@@ -157,45 +158,46 @@
       services.signals().onAnswer(slot.target(), signals, sentMs);
     }
     Content.Source.asByteArrayAsync(answer.body(), MAX_ANSWER_BYTES)
-        .whenComplete((body, cut) -> onWhole(answer, signals, body, cut));
+        .whenComplete((body, failure) -> onBodyRead(answer, signals, body, failure));
   }
 
-  private boolean isOurs(TargetSignals signals) {
+  private boolean isForThisAttempt(TargetSignals signals) {
     return signals.attemptId().map(call.attemptId()::equals).orElse(signals.notExecuted());
   }
 
-  private void onWhole(TargetAnswer answer, TargetSignals signals, byte[] body, Throwable cut) {
-    if (cut != null) {
-      exchange.abandon("the answer was cut");
+  private void onBodyRead(
+      TargetAnswer answer, TargetSignals signals, byte[] body, Throwable failure) {
+    if (failure != null) {
+      exchange.abandon("the response was incomplete");
       onBroken();
       fail(true, "cut_answer");
       return;
     }
     if (signals.notExecuted()) {
-      noteOtherTarget(signals);
-      end = AttemptOutcome.FAILED;
+      detectReplacement(signals);
+      outcome = AttemptOutcome.FAILED;
       if (ended.compareAndSet(false, true)) {
         listener.onNotExecuted(this, answer.status());
       }
       return;
     }
-    services.witness().onAlive(slot.target().id(), sentMs);
+    services.crashDetector().onAlive(slot.target().id(), sentMs);
     boolean failed = answer.status() >= FIRST_ERROR_STATUS;
-    end = failed ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
+    outcome = failed ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
     if (!failed) {
       services.quarantine().onAnswer(call.identity());
     }
-    wish.answered(body.length);
+    slotRequest.setResponseBytes(body.length);
     if (ended.compareAndSet(false, true)) {
       listener.onAnswer(this, answer.status(), answer.headers(), body);
     }
   }
 
-  /** Its address may belong to another target by now: then nothing more may go there. */
-  private void noteOtherTarget(TargetSignals signals) {
+  /** Marks the target as ended if another target responded at its address. */
+  private void detectReplacement(TargetSignals signals) {
     if (signals.isFromOtherThan(slot.target().id().name())) {
       services.dispatcher().onReplaced(slot.target().id());
-      services.witness().onEnded(slot.target().id());
+      services.crashDetector().onEnded(slot.target().id());
     }
   }
 
@@ -204,19 +206,19 @@
     if (handedOver) {
       onBroken();
     } else if (cause instanceof ConnectException) {
-      services.witness().onEnded(slot.target().id());
+      services.crashDetector().onEnded(slot.target().id());
     }
     fail(handedOver, cause.getClass().getSimpleName());
   }
 
-  /** The target may have ended while it ran the request, perhaps because of it. */
+  /** Reports a broken connection, since the target may have crashed because of this request. */
   private void onBroken() {
     if (ended.get()) {
       return;
     }
     long nowMs = services.clock().nowMs();
     services
-        .witness()
+        .crashDetector()
         .onBroken(
             new BrokenAttempt(call.attemptId(), call.identity(), slot.target().id(), sentMs, nowMs),
             slot.target());
@@ -229,15 +231,15 @@
     if (obstacle.isPresent()) {
       listener.onStopped(this, obstacle.get());
     } else {
-      end = AttemptOutcome.NO_ANSWER;
+      outcome = AttemptOutcome.NO_ANSWER;
       listener.onFailure(this, mayHaveRun, reason);
     }
   }
 
-  /** Counts an attempt that was given up because the target did not answer in time. */
-  void onTooLate() {
+  /** Counts the abandoned attempt as unanswered, since the target did not respond in time. */
+  void onTimedOut() {
     if (obstacle.isEmpty()) {
-      end = AttemptOutcome.NO_ANSWER;
+      outcome = AttemptOutcome.NO_ANSWER;
     }
   }
 
@@ -245,10 +247,10 @@
   public void onReleased() {
     if (released.compareAndSet(false, true)) {
       long tookMs = services.clock().nowMs() - sentMs;
-      if (call.key().isPresent() && end != AttemptOutcome.GIVEN_UP) {
-        services.keyWork().add(call.service(), call.key().getAsInt(), tookMs);
+      if (call.key().isPresent() && outcome != AttemptOutcome.GIVEN_UP) {
+        services.keyLoad().add(call.service(), call.key().getAsInt(), tookMs);
       }
-      services.dispatcher().giveBack(slot, wish, end, tookMs);
+      services.dispatcher().release(slot, slotRequest, outcome, tookMs);
     }
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetBackoffs.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetBackoffs.java
@@ -15,31 +15,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The targets that have asked this gateway for rest, and until when it leaves them alone.
+ * Tracks the targets that asked this gateway for a back-off, and when it ends.
  *
- * <p>A rest is that of one run of a target: the next run under its name has not asked for any. It
- * is measured by the clock that never counts more time than has passed. Safe for use by several
- * threads.
+ * <p>A back-off applies to one run of a target; the next run under the same name starts without
+ * one. It is measured by a clock that never runs ahead of the elapsed time. Thread-safe.
  */
 final class TargetBackoffs {
 
-  /** Bounds the memory, also if every target of a large fleet asks for rest. */
-  static final int MOST_TARGETS = 1_024;
+  /** Bounds the memory, even if every target of a large fleet asks for a back-off. */
+  static final int MAX_TARGETS = 1_024;
 
-  /** Gateways come back one after the other: each adds up to this part of the rest. */
-  private static final double SPREAD = 0.1;
+  /** Random share added to each back-off, so that gateways do not return at the same time. */
+  private static final double JITTER = 0.1;
 
-  private static final long LONGEST_SPREAD_MS = 250;
+  private static final long MAX_JITTER_MS = 250;
 
   private final MillisClock clock;
   private final Timers timers;
   private final RandomGenerator random;
   private final DecisionLog log;
   private final Map<TargetId, Long> endsMs = new HashMap<>();
-  private final Set<TargetId> begun = new HashSet<>();
+  private final Set<TargetId> unreportedStarts = new HashSet<>();
   private volatile boolean anyBackoff;
-  private volatile Consumer<FleetTarget> onBegin = target -> {};
-  private volatile Consumer<ServiceId> onOver = service -> {};
+  private volatile Consumer<FleetTarget> onStart = target -> {};
+  private volatile Consumer<ServiceId> onEnd = service -> {};
 
   TargetBackoffs(MillisClock clock, Timers timers, RandomGenerator random, DecisionLog log) {
     this.clock = clock;
@@ -48,69 +47,69 @@
     this.log = log;
   }
 
-  /** Sets who is told of each rest that begins; called on any thread. */
-  void onBegin(Consumer<FleetTarget> listener) {
-    onBegin = listener;
+  /** Sets the listener for started back-offs; called on any thread. */
+  void onStart(Consumer<FleetTarget> listener) {
+    onStart = listener;
   }
 
-  /** Sets who looks again at the requests that wait for a target of a service. */
-  void onOver(Consumer<ServiceId> listener) {
-    onOver = listener;
+  /** Sets the listener that serves the waiting requests of a service after a back-off. */
+  void onEnd(Consumer<ServiceId> listener) {
+    onEnd = listener;
   }
 
   /**
-   * A target has asked for rest.
+   * Starts or extends the back-off of a target.
    *
    * @param target the run of the target; not null
-   * @param backoffMs for how long; milliseconds, above 0
+   * @param backoffMs the length that the target asked for; milliseconds, above 0
    */
-  void ask(FleetTarget target, long backoffMs) {
-    long mostSpreadMs = 1 + (long) Math.min(LONGEST_SPREAD_MS, SPREAD * backoffMs);
-    boolean begins;
-    long leftMs;
+  void start(FleetTarget target, long backoffMs) {
+    long jitterBoundMs = 1 + (long) Math.min(MAX_JITTER_MS, JITTER * backoffMs);
+    boolean starts;
+    long remainingMs;
     synchronized (this) {
       long nowMs = clock.nowMs();
-      leftMs = backoffMs + random.nextLong(mostSpreadMs);
-      Long beforeMs = endsMs.get(target.id());
-      begins = beforeMs == null || beforeMs <= nowMs;
-      if (begins) {
-        begun.add(target.id());
+      remainingMs = backoffMs + random.nextLong(jitterBoundMs);
+      Long previousEndMs = endsMs.get(target.id());
+      starts = previousEndMs == null || previousEndMs <= nowMs;
+      if (starts) {
+        unreportedStarts.add(target.id());
       }
-      endsMs.merge(target.id(), nowMs + leftMs, Math::max);
-      dropFirstToEnd();
+      endsMs.merge(target.id(), nowMs + remainingMs, Math::max);
+      evictEarliestEnding();
       anyBackoff = true;
     }
-    if (begins) {
-      log.write("target_rest", "target={} rest_ms={}", target.id(), leftMs);
-      onBegin.accept(target);
+    if (starts) {
+      log.write("target_rest", "target={} rest_ms={}", target.id(), remainingMs);
+      onStart.accept(target);
     }
-    lookAgainAfter(target, leftMs);
+    scheduleEnd(target, remainingMs);
   }
 
-  private void dropFirstToEnd() {
-    if (endsMs.size() > MOST_TARGETS) {
+  private void evictEarliestEnding() {
+    if (endsMs.size() > MAX_TARGETS) {
       endsMs.entrySet().stream()
           .min(Comparator.comparingLong(Map.Entry::getValue))
           .ifPresent(first -> endsMs.remove(first.getKey()));
     }
   }
 
-  /** Timers may fire before the clock says so. */
-  private void lookAgainAfter(FleetTarget target, long delayMs) {
+  /** Schedules the end of a back-off; timers may fire before the clock reaches it. */
+  private void scheduleEnd(FleetTarget target, long delayMs) {
     timers.schedule(
         () -> {
-          long leftMs = leftMs(target.id());
-          if (leftMs > 0) {
-            lookAgainAfter(target, leftMs);
+          long remainingMs = remainingMs(target.id());
+          if (remainingMs > 0) {
+            scheduleEnd(target, remainingMs);
           } else {
-            onOver.accept(target.service());
+            onEnd.accept(target.service());
           }
         },
         delayMs);
   }
 
-  /** Tells for how long a target is still left alone; milliseconds, 0 if it is not. */
-  long leftMs(TargetId target) {
+  /** Returns the remaining back-off of a target in milliseconds; 0 if it has none. */
+  long remainingMs(TargetId target) {
     if (!anyBackoff) {
       return 0;
     }
@@ -120,24 +119,24 @@
     }
   }
 
-  /** Takes the rests that have begun since the last call, with what is left; milliseconds. */
-  synchronized Map<TargetId, Long> takeBegun() {
-    if (begun.isEmpty()) {
+  /** Returns the remaining milliseconds of the back-offs started since the last call. */
+  synchronized Map<TargetId, Long> takeStarted() {
+    if (unreportedStarts.isEmpty()) {
       return Map.of();
     }
-    Map<TargetId, Long> leftMs = all();
-    leftMs.keySet().retainAll(begun);
-    begun.clear();
-    return leftMs;
+    Map<TargetId, Long> remainingMs = remainingMsByTarget();
+    remainingMs.keySet().retainAll(unreportedStarts);
+    unreportedStarts.clear();
+    return remainingMs;
   }
 
-  /** Returns for how long each target that rests is still left alone; milliseconds. */
-  synchronized Map<TargetId, Long> all() {
+  /** Returns the remaining milliseconds of all current back-offs by target. */
+  synchronized Map<TargetId, Long> remainingMsByTarget() {
     long nowMs = clock.nowMs();
     endsMs.values().removeIf(endMs -> endMs <= nowMs);
     anyBackoff = !endsMs.isEmpty();
-    Map<TargetId, Long> leftMs = new HashMap<>();
-    endsMs.forEach((target, endMs) -> leftMs.put(target, endMs - nowMs));
-    return leftMs;
+    Map<TargetId, Long> remainingMs = new HashMap<>();
+    endsMs.forEach((target, endMs) -> remainingMs.put(target, endMs - nowMs));
+    return remainingMs;
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetProbe.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetProbe.java
@@ -2,17 +2,17 @@
 
 import java.util.function.Consumer;
 
-/** Finds out whether somebody listens at the address of a target. */
+/** Checks whether a process listens at the address of a target. */
 @FunctionalInterface
 interface TargetProbe {
 
-  /** What a probe found. */
+  /** The result of a probe. */
   enum Finding {
-    /** Somebody accepts connections. */
+    /** A process accepts connections. */
     LISTENING,
-    /** The host is there and nobody listens: the process has ended. */
+    /** The host refused the connection: the process has ended. */
     REFUSED,
-    /** Nothing came back. */
+    /** There was no reply. */
     SILENT
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetQuotas.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetQuotas.java
@@ -24,19 +24,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The limits that targets name in their answers, and what this gateway may send to such targets.
+ * Tracks the rate limits that targets announce in their responses, and this gateway's share of
+ * them.
  *
- * <p>Safe for use by several threads. Listeners are called without its lock.
+ * <p>Thread-safe. Listeners are called without holding the lock.
  *
  * @since 0.2
  */
 public final class TargetQuotas {
 
-  /** Pause between two lines on the requests that this gateway sent to a target with a limit. */
-  private static final long REPORT_MS = 4_000;
+  /** Shortest interval between two log lines on the requests sent to one limited target. */
+  private static final long LOG_INTERVAL_MS = 4_000;
 
-  /** Assumed until a holder has told how many gateways there are: a small part is safe. */
-  private static final int UNKNOWN_GATEWAYS = 100;
+  /** Assumed until the holder has reported the number of gateways; a small share is safe. */
+  private static final int ASSUMED_GATEWAYS = 100;
 
   private final MillisClock clock;
   private final DecisionLog log;
@@ -44,7 +45,7 @@
   private final RandomGenerator random;
   private final LimitLedger ledger = new LimitLedger();
   private final Map<TargetId, Quota> quotas = new HashMap<>();
-  private int gateways = UNKNOWN_GATEWAYS;
+  private int gateways = ASSUMED_GATEWAYS;
   private volatile boolean anyLimit;
   private volatile Consumer<List<TargetId>> onLimit = targets -> {};
   private volatile Consumer<QuotaRequest> onQuotaRequest = request -> {};
@@ -58,7 +59,7 @@
   }
 
   /**
-   * Sets who is told of targets whose limit this gateway has seen begin, change or end.
+   * Sets the listener for targets whose limit, as seen by this gateway, began, changed or ended.
    *
    * @param listener called on any thread; must not block; not null
    */
@@ -67,7 +68,7 @@
   }
 
   /**
-   * Sets who asks the holder of the term.
+   * Sets the listener that sends quota requests to the holder of the term.
    *
    * @param listener called on any thread; must not block; not null
    */
@@ -75,56 +76,56 @@
     onQuotaRequest = listener;
   }
 
-  /** Sets who looks again at the requests that wait for a target of a service. */
+  /** Sets the listener that serves the waiting requests of a service. */
   void onUsable(Consumer<ServiceId> listener) {
     onUsable = listener;
   }
 
   /**
-   * Takes an answer of a target.
+   * Updates the limit of a target from one of its responses.
    *
    * @param target the run of the target; not null
-   * @param perS the limit that it names; requests a second; empty if none
-   * @param sentMs when its request was sent; a time of the clock; milliseconds
+   * @param perS the announced limit in requests per second; empty if none
+   * @param sentMs when the request was sent; a time of the clock in milliseconds
    */
   void onAnswer(TargetId target, OptionalDouble perS, long sentMs) {
     if (perS.isEmpty() && !anyLimit) {
       return;
     }
-    boolean news;
+    boolean changes;
     synchronized (this) {
       long nowMs = clock.nowMs();
-      news =
+      changes =
           perS.isPresent()
               ? ledger.onNamed(target, perS.getAsDouble(), nowMs)
               : ledger.onNotNamed(target, sentMs, nowMs);
     }
-    if (news) {
-      takeEffect(List.of(target), "answer");
+    if (changes) {
+      applyChanges(List.of(target), "answer");
       onLimit.accept(List.of(target));
     }
   }
 
   /**
-   * Takes what another process knows.
+   * Merges the limits that another process reports.
    *
-   * @param reports what it knows; not null
-   * @return the targets of which that is news; never null
+   * @param reports the reported limits; not null
+   * @return the targets whose limit changed; never null
    */
   public List<TargetId> merge(Collection<LimitReport> reports) {
-    List<TargetId> news = new ArrayList<>();
+    List<TargetId> changes = new ArrayList<>();
     synchronized (this) {
       for (LimitReport report : reports) {
         if (ledger.merge(report, clock.nowMs())) {
-          news.add(report.target());
+          changes.add(report.target());
         }
       }
     }
-    takeEffect(news, "heard");
-    return news;
+    applyChanges(changes, "heard");
+    return changes;
   }
 
-  private void takeEffect(List<TargetId> changed, String source) {
+  private void applyChanges(List<TargetId> changed, String source) {
     List<ServiceId> usable = new ArrayList<>();
     synchronized (this) {
       for (TargetId target : changed) {
@@ -156,7 +157,7 @@
    * Returns the limit of a target.
    *
    * @param target the run of the target; not null
-   * @return requests a second from all gateways together; empty if it names none
+   * @return requests per second from all gateways together; empty if it has none
    */
   public synchronized OptionalDouble limitOf(TargetId target) {
     return ledger.limitOf(target);
@@ -165,14 +166,14 @@
   /**
    * Returns all limits.
    *
-   * @return requests a second by target; never null
+   * @return requests per second by target; never null
    */
   public synchronized Map<TargetId, Double> limits() {
     return ledger.limits();
   }
 
   /**
-   * Returns what is known of all targets that name a limit, or did lately.
+   * Returns reports on all targets that have a limit or had one recently.
    *
    * @return never null
    */
@@ -181,9 +182,9 @@
   }
 
   /**
-   * Returns what is known of some targets.
+   * Returns reports on the given targets.
    *
-   * @param targets which ones; not null
+   * @param targets the targets; not null
    * @return never null
    */
   public synchronized List<LimitReport> reports(Collection<TargetId> targets) {
@@ -191,7 +192,7 @@
   }
 
   /**
-   * Returns the limits in short, to compare them with those of another process.
+   * Returns a digest of the limits for comparison with another process.
    *
    * @return 0 if there is none
    */
@@ -200,9 +201,9 @@
   }
 
   /**
-   * Forgets targets that have long been gone.
+   * Removes targets that have been unregistered for long.
    *
-   * @param registered tells which targets are registered; not null
+   * @param registered returns whether a target is registered; not null
    */
   public void forget(Predicate<TargetId> registered) {
     if (!anyLimit) {
@@ -216,7 +217,7 @@
   }
 
   /**
-   * Notes how many gateways there are.
+   * Sets the number of gateways.
    *
    * @param count at least 1
    */
@@ -224,12 +225,12 @@
     gateways = count;
   }
 
-  /** Uses a permit to send one request. Asks the holder if none is left. */
+  /** Takes a permit to send one request; requests quota from the holder if none is left. */
   boolean take(FleetTarget target, int priority) {
     if (!anyLimit) {
       return true;
     }
-    Optional<QuotaRequest> question;
+    Optional<QuotaRequest> quotaRequest;
     synchronized (this) {
       OptionalDouble perS = ledger.limitOf(target.id());
       if (perS.isEmpty()) {
@@ -241,12 +242,12 @@
         quota.onSent(clock.nowMs());
         return true;
       }
-      question =
+      quotaRequest =
           decision == QuotaShare.Decision.ASK
-              ? Optional.of(questionOf(target, priority, quota))
+              ? Optional.of(newQuotaRequest(target, priority, quota))
               : Optional.empty();
     }
-    question.ifPresent(request -> ask(request, target.service()));
+    quotaRequest.ifPresent(request -> requestQuota(request, target.service()));
     return false;
   }
 
@@ -256,21 +257,21 @@
         id -> new Quota(id, target.service(), new QuotaShare(perS, random), clock.nowMs()));
   }
 
-  private QuotaRequest questionOf(FleetTarget target, int priority, Quota quota) {
+  private QuotaRequest newQuotaRequest(FleetTarget target, int priority, Quota quota) {
     LimitReport limit = ledger.reports(List.of(target.id()), clock.nowMs()).get(0);
     return new QuotaRequest(limit, priority, 1, quota.share.expectedSoon());
   }
 
-  /** Requests wait for the answer; if none comes, they have to be looked at again. */
-  private void ask(QuotaRequest request, ServiceId service) {
+  /** Requests quota, and serves the waiting requests again even if no reply comes. */
+  private void requestQuota(QuotaRequest request, ServiceId service) {
     onQuotaRequest.accept(request);
     timers.schedule(() -> onUsable.accept(service), QuotaShare.ANSWER_MS + 1);
   }
 
   /**
-   * Takes the holder's answer.
+   * Handles the holder's reply to a quota request.
    *
-   * @param reply the answer; not null
+   * @param reply the reply; not null
    */
   public void onReply(QuotaReply reply) {
     Quota quota;
@@ -285,7 +286,10 @@
     }
   }
 
-  /** Tells for how long no request of a priority may be sent; empty if it may, or may soon. */
+  /**
+   * Returns for how many milliseconds no request of a priority may be sent; empty if one may be
+   * sent now or soon.
+   */
   OptionalLong refusedForMs(TargetId target, int priority) {
     if (!anyLimit) {
       return OptionalLong.empty();
@@ -298,24 +302,24 @@
     }
   }
 
-  /** Refuses a request because of a target, and promises its caller a time. */
+  /** Refuses a request because of a target's limit, with a time at which to retry. */
   synchronized TargetRefusal refuse(TargetId target, int priority) {
     Quota quota = quotas.get(target);
     long retryAfterMs = quota == null ? 1 : quota.share.promiseMs(priority, clock.nowMs());
     return TargetRefusal.forLimit(target, ledger.limitOf(target).orElse(0), retryAfterMs);
   }
 
-  /** Tells whether a target names a limit. */
+  /** Returns whether a target has a limit. */
   boolean isLimited(TargetId target) {
     return anyLimit && limitOf(target).isPresent();
   }
 
-  /** Returns how many targets name a limit. */
+  /** Returns the number of targets with a limit. */
   synchronized int size() {
     return ledger.limits().size();
   }
 
-  /** What this gateway has and sends of one limit. */
+  /** This gateway's share of one limit and its use. */
   private final class Quota {
 
     private final TargetId target;
@@ -333,7 +337,7 @@
 
     void onSent(long nowMs) {
       sent++;
-      if (nowMs - sinceMs < REPORT_MS) {
+      if (nowMs - sinceMs < LOG_INTERVAL_MS) {
         return;
       }
       log.write(
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
@@ -5,52 +5,52 @@
 import java.util.Optional;
 
 /**
- * What this gateway has under way at one target, and how the target has answered it lately.
+ * The adaptive concurrency limit of this gateway at one target, and its recent response statistics.
  *
  * <p>Guarded by the lock of the {@link Dispatcher}.
  */
 final class TargetSlots {
 
-  /** Weight of the newest answer in the means; about the last ten answers count. */
-  private static final double NEWEST = 0.1;
+  /** Weight of the newest response in the moving averages; about the last ten responses count. */
+  private static final double EWMA_WEIGHT = 0.1;
 
-  /** The first pause after a target could not be reached; it doubles. */
+  /** First pause after a target could not be reached; doubles with each failure in a row. */
   private static final long FIRST_PAUSE_MS = 250;
 
-  private static final long LONGEST_PAUSE_MS = 4_000;
+  private static final long MAX_PAUSE_MS = 4_000;
 
-  /** By how much the limit grows with an answer in good time that used it up. */
-  private static final double GROWTH = 0.2;
+  /** Added to the limit after a fast response while the limit was fully used. */
+  private static final double LIMIT_INCREASE = 0.2;
 
-  /** What is left of the limit after an answer that took long, probably in the target's queue. */
-  private static final double SHRINKAGE = 0.85;
+  /** Factor on the limit after a slow response, which probably waited in the target's queue. */
+  private static final double LIMIT_DECREASE_FACTOR = 0.85;
 
-  /** An answer took long if it took so many times the mean of its route. */
-  private static final double LONG_TIME = 2.5;
+  /** A response is slow if it took more than this many times the mean of its route. */
+  private static final double SLOW_RESPONSE_RATIO = 2.5;
 
-  private final double mostInUse;
+  private final double maxLimit;
 
   private int inUse;
-  private double slowness = 1;
+  private double relativeLatency = 1;
   private double failureShare;
-  private int failuresInRow;
+  private int consecutiveFailures;
   private long pausedUntilMs;
   private double limit;
-  private double reportedTime;
-  private int reportedAnswers;
+  private double unreportedTime;
+  private int unreportedResponses;
 
   /**
-   * Starts with an even part of what all gateways together may send there.
+   * Creates a limit that starts at an equal share of what all gateways together may send.
    *
-   * @param evenPart how many requests that is; at least 1
-   * @param mostInUse up to how many it may grow
+   * @param equalShare the initial limit in requests; at least 1
+   * @param maxLimit the limit up to which it may grow, in requests
    */
-  TargetSlots(double evenPart, double mostInUse) {
-    this.limit = evenPart;
-    this.mostInUse = Math.max(evenPart, mostInUse);
+  TargetSlots(double equalShare, double maxLimit) {
+    this.limit = equalShare;
+    this.maxLimit = Math.max(equalShare, maxLimit);
   }
 
-  boolean hasRoom() {
+  boolean hasFreeSlot() {
     return inUse < (int) limit;
   }
 
@@ -62,7 +62,7 @@
     inUse++;
   }
 
-  void giveBack() {
+  void release() {
     inUse--;
   }
 
@@ -70,58 +70,58 @@
     return nowMs < pausedUntilMs;
   }
 
-  /** Returns how long one more request is likely to take here, in relation to other targets. */
+  /** Returns the expected time of one more request, relative to other targets. */
   double cost(int slots) {
     double queue = 1 + (double) inUse / slots;
-    return slowness * queue * (1 + 4 * failureShare);
+    return relativeLatency * queue * (1 + 4 * failureShare);
   }
 
-  /** Takes an answer: its time in relation to the mean of its route over all targets. */
-  void onAnswer(double relativeTime) {
+  /** Records a response; its time is relative to the mean of its route over all targets. */
+  void onResponse(double relativeTime) {
     adjustLimit(relativeTime);
-    reportedTime += relativeTime;
-    reportedAnswers++;
-    slowness += NEWEST * (relativeTime - slowness);
-    failureShare -= NEWEST * failureShare;
-    failuresInRow = 0;
+    unreportedTime += relativeTime;
+    unreportedResponses++;
+    relativeLatency += EWMA_WEIGHT * (relativeTime - relativeLatency);
+    failureShare -= EWMA_WEIGHT * failureShare;
+    consecutiveFailures = 0;
     pausedUntilMs = 0;
   }
 
   private void adjustLimit(double relativeTime) {
-    if (relativeTime > LONG_TIME) {
-      limit = Math.max(1, limit * SHRINKAGE);
+    if (relativeTime > SLOW_RESPONSE_RATIO) {
+      limit = Math.max(1, limit * LIMIT_DECREASE_FACTOR);
     } else if (inUse + 1 >= (int) limit) {
-      limit = Math.min(mostInUse, limit + GROWTH);
+      limit = Math.min(maxLimit, limit + LIMIT_INCREASE);
     }
   }
 
-  /** Takes an answer that says that the target failed or refused. */
-  void onFailedAnswer() {
-    failureShare += NEWEST * (1 - failureShare);
+  /** Records a response by which the target failed or refused the request. */
+  void onFailedResponse() {
+    failureShare += EWMA_WEIGHT * (1 - failureShare);
   }
 
-  /** The target has asked for rest. */
+  /** Resets the limit to one request, since the target asked for a back-off. */
   void onBackoff() {
     limit = 1;
   }
 
-  /** Returns what was measured since the last call, if anything. */
+  /** Returns the mean relative response time since the last call; empty without responses. */
   Optional<TargetTime> takeTime(TargetId id) {
-    if (reportedAnswers == 0) {
+    if (unreportedResponses == 0) {
       return Optional.empty();
     }
-    TargetTime time = new TargetTime(id, reportedTime / reportedAnswers, reportedAnswers);
-    reportedTime = 0;
-    reportedAnswers = 0;
+    TargetTime time = new TargetTime(id, unreportedTime / unreportedResponses, unreportedResponses);
+    unreportedTime = 0;
+    unreportedResponses = 0;
     return Optional.of(time);
   }
 
-  /** Takes an attempt that got no answer. */
-  void onNoAnswer(long nowMs) {
-    onFailedAnswer();
+  /** Records an attempt without a response, resets the limit and pauses the target. */
+  void onNoResponse(long nowMs) {
+    onFailedResponse();
     limit = 1;
-    long pauseMs = FIRST_PAUSE_MS << Math.min(failuresInRow, 4);
-    failuresInRow++;
-    pausedUntilMs = nowMs + Math.min(LONGEST_PAUSE_MS, pauseMs);
+    long pauseMs = FIRST_PAUSE_MS << Math.min(consecutiveFailures, 4);
+    consecutiveFailures++;
+    pausedUntilMs = nowMs + Math.min(MAX_PAUSE_MS, pauseMs);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
@@ -15,29 +15,29 @@
  */
 public final class TrafficReports {
 
-  private final KeyLoadMeter keyWork;
+  private final KeyLoadMeter keyLoad;
   private final Dispatcher dispatcher;
   private final TargetQuotas quotas;
-  private final TargetBackoffs rests;
+  private final TargetBackoffs backoffs;
   private final TargetDepartures departures;
   private final RequestQuarantine quarantine;
-  private final CrashDetector witness;
+  private final CrashDetector crashDetector;
 
   TrafficReports(
-      KeyLoadMeter keyWork,
+      KeyLoadMeter keyLoad,
       Dispatcher dispatcher,
       TargetQuotas quotas,
-      TargetBackoffs rests,
+      TargetBackoffs backoffs,
       TargetDepartures departures,
       RequestQuarantine quarantine,
-      CrashDetector witness) {
-    this.keyWork = keyWork;
+      CrashDetector crashDetector) {
+    this.keyLoad = keyLoad;
     this.dispatcher = dispatcher;
     this.quotas = quotas;
-    this.rests = rests;
+    this.backoffs = backoffs;
     this.departures = departures;
     this.quarantine = quarantine;
-    this.witness = witness;
+    this.crashDetector = crashDetector;
   }
 
   /**
@@ -73,7 +73,7 @@
    * @param listener called on any thread; must not block; not null
    */
   public void onCrash(Consumer<List<BrokenAttempt>> listener) {
-    witness.onCrash(listener);
+    crashDetector.onCrash(listener);
   }
 
   /**
@@ -82,7 +82,7 @@
    * @return never null
    */
   public List<FleetMessage> takeKeyLoad() {
-    return new ArrayList<>(keyWork.take());
+    return new ArrayList<>(keyLoad.take());
   }
 
   /**
@@ -91,7 +91,7 @@
    * @return what is left of them; milliseconds by target; never null
    */
   public Map<TargetId, Long> takeStartedBackoffsMs() {
-    return rests.takeBegun();
+    return backoffs.takeStarted();
   }
 
   /**
@@ -100,7 +100,7 @@
    * @return milliseconds by target; never null
    */
   public Map<TargetId, Long> backoffsMs() {
-    return rests.all();
+    return backoffs.remainingMsByTarget();
   }
 
   /**
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CrashDetectorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CrashDetectorTest.java
@@ -37,12 +37,12 @@
   private final List<String> crashed = new ArrayList<>();
   private TargetProbe.Finding finding = TargetProbe.Finding.SILENT;
   private int probes;
-  private CrashDetector witness;
+  private CrashDetector crashDetector;
 
   @BeforeEach
   void setUp() {
     state.update(snapshot -> snapshot.withTargets(List.of(TARGET)));
-    witness =
+    crashDetector =
         new CrashDetector(
             state,
             (address, onDone) -> {
@@ -54,7 +54,8 @@
               return () -> {};
             },
             clock);
-    witness.onCrash(attempts -> attempts.forEach(attempt -> crashed.add(attempt.attemptId())));
+    crashDetector.onCrash(
+        attempts -> attempts.forEach(attempt -> crashed.add(attempt.attemptId())));
   }
 
   @Test
@@ -62,7 +63,7 @@
     breaksOff("one");
     breaksOff("two");
     assertThat(crashed).isEmpty();
-    witness.onEnded(TARGET_ID);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).containsExactly("one", "two");
     clock.advance(1_000);
     assertThat(probes).isEqualTo(0);
@@ -83,7 +84,7 @@
     finding = TargetProbe.Finding.LISTENING;
     breaksOff("one");
     clock.advance(1_000);
-    witness.onEnded(TARGET_ID);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).isEmpty();
   }
 
@@ -91,9 +92,9 @@
   void answersToLaterRequestsShowThatTheTargetLivesAndSpareTheProbe() {
     breaksOff("one");
     clock.advance(10);
-    witness.onAlive(TARGET_ID, clock.nowMs());
+    crashDetector.onAlive(TARGET_ID, clock.nowMs());
     clock.advance(1_000);
-    witness.onEnded(TARGET_ID);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).isEmpty();
     assertThat(probes).isEqualTo(0);
   }
@@ -104,8 +105,8 @@
     final long beforeMs = clock.nowMs();
     clock.advance(100);
     breaksOff("one");
-    witness.onAlive(TARGET_ID, beforeMs);
-    witness.onEnded(TARGET_ID);
+    crashDetector.onAlive(TARGET_ID, beforeMs);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).containsExactly("one");
   }
 
@@ -131,13 +132,13 @@
     for (int i = 0; i < 10_000; i++) {
       breaksOff("attempt-" + i);
     }
-    witness.onEnded(TARGET_ID);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed.size()).isLessThan(1_000);
     assertThat(crashed).isNotEmpty();
   }
 
   private void breaksOff(String attemptId) {
     long nowMs = clock.nowMs();
-    witness.onBroken(new BrokenAttempt(attemptId, IDENTITY, TARGET_ID, nowMs, nowMs), TARGET);
+    crashDetector.onBroken(new BrokenAttempt(attemptId, IDENTITY, TARGET_ID, nowMs, nowMs), TARGET);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/DispatcherTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/DispatcherTest.java
@@ -47,7 +47,7 @@
             return () -> scheduled.remove(task);
           },
           new SplittableRandom(2));
-  private final TargetBackoffs rests =
+  private final TargetBackoffs backoffs =
       new TargetBackoffs(
           () -> nowMs,
           (task, delayMs) -> {
@@ -57,7 +57,7 @@
           new SplittableRandom(3),
           new DecisionLog(() -> nowMs, 1, line -> {}));
   private final Dispatcher dispatcher =
-      new Dispatcher(state, HERE, () -> nowMs, new SplittableRandom(1), quotas, rests);
+      new Dispatcher(state, HERE, () -> nowMs, new SplittableRandom(1), quotas, backoffs);
   private final List<String> placed = new ArrayList<>();
   private final List<Slot> slots = new ArrayList<>();
   private final Map<String, TargetRefusal> refused = new HashMap<>();
@@ -86,8 +86,8 @@
     SlotRequest first = submit("download", 1, OptionalInt.empty());
     submit("download", 1, OptionalInt.empty());
     assertThat(slots.get(1).target().id()).isEqualTo(FAR);
-    first.answered(100_000);
-    dispatcher.giveBack(slots.get(0), first, AttemptOutcome.ANSWERED, 100);
+    first.setResponseBytes(100_000);
+    dispatcher.release(slots.get(0), first, AttemptOutcome.ANSWERED, 100);
     submit("download", 1, OptionalInt.empty());
     submit("download", 1, OptionalInt.empty());
     assertThat(slots.get(2).target().id()).isEqualTo(NEAR);
@@ -98,9 +98,9 @@
   void theOwnerOfTheKeyGetsItAsSoonAsItHasItsLease() {
     targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
     owner(FAR, false);
-    SlotRequest wish = submit("one", 1, OptionalInt.of(7));
+    SlotRequest request = submit("one", 1, OptionalInt.of(7));
     assertThat(placed).isEmpty();
-    assertThat(dispatcher.waitReason(wish)).isEqualTo("key_on_the_move");
+    assertThat(dispatcher.waitReason(request)).isEqualTo("key_on_the_move");
     owner(FAR, true);
     assertThat(slots.get(0).target().id()).isEqualTo(FAR);
   }
@@ -114,7 +114,7 @@
     submit("urgent", 0, OptionalInt.of(7));
     assertThat(dispatcher.waitReason(late)).isEqualTo("owner_busy");
     int before = placed.size();
-    dispatcher.giveBack(slots.get(0), late, AttemptOutcome.GIVEN_UP, 0);
+    dispatcher.release(slots.get(0), late, AttemptOutcome.GIVEN_UP, 0);
     assertThat(placed.subList(before, placed.size())).containsExactly("urgent");
   }
 
@@ -133,9 +133,9 @@
   @Test
   void whoIsWithdrawnIsNotPlacedAnyMore() {
     targets(target(NEAR, HERE, TargetPhase.READY));
-    SlotRequest wish = submit("one", 1, OptionalInt.of(7));
-    assertThat(dispatcher.withdraw(wish)).isTrue();
-    assertThat(dispatcher.withdraw(wish)).isFalse();
+    SlotRequest request = submit("one", 1, OptionalInt.of(7));
+    assertThat(dispatcher.withdraw(request)).isTrue();
+    assertThat(dispatcher.withdraw(request)).isFalse();
     owner(NEAR, true);
     assertThat(placed).isEmpty();
   }
@@ -145,13 +145,13 @@
     targets(target(NEAR, HERE, TargetPhase.READY));
     KeyOwners owners = new KeyOwners(List.of(new RangeRoute(0, 65_535, NEAR, true, 40)));
     state.update(s -> s.withOwners(Map.of(SERVICE, owners), new OwnersVersion(1, 1)));
-    SlotRequest keyed = wish("one", 1, OptionalInt.of(7), 0);
+    SlotRequest keyed = request("one", 1, OptionalInt.of(7), 0);
     int turnedAway = 0;
     for (int i = 0; i < 1_000; i++) {
       turnedAway += dispatcher.shouldShed(keyed) ? 1 : 0;
     }
     assertThat(turnedAway).isIn(Range.closed(340, 460));
-    assertThat(dispatcher.shouldShed(wish("two", 1, OptionalInt.empty(), 0))).isFalse();
+    assertThat(dispatcher.shouldShed(request("two", 1, OptionalInt.empty(), 0))).isFalse();
   }
 
   @Test
@@ -290,8 +290,8 @@
   }
 
   private void rest(TargetId target, long backoffMs) {
-    rests.onBegin(dispatcher::onBackoff);
-    rests.ask(target(target, HERE, TargetPhase.READY), backoffMs);
+    backoffs.onStart(dispatcher::onBackoff);
+    backoffs.start(target(target, HERE, TargetPhase.READY), backoffMs);
   }
 
   private void limit(TargetId target, String perS) {
@@ -312,12 +312,12 @@
   }
 
   private SlotRequest submit(String name, int priority, OptionalInt key, int bodyBytes) {
-    SlotRequest wish = wish(name, priority, key, bodyBytes);
-    dispatcher.submit(wish);
-    return wish;
+    SlotRequest request = request(name, priority, key, bodyBytes);
+    dispatcher.submit(request);
+    return request;
   }
 
-  private SlotRequest wish(String name, int priority, OptionalInt key, int bodyBytes) {
+  private SlotRequest request(String name, int priority, OptionalInt key, int bodyBytes) {
     Route route =
         new Route(
             name,
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/RequestQuarantineTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/RequestQuarantineTest.java
@@ -48,7 +48,7 @@
     assertThat(quarantine.refusedForMs(ONE)).isEqualTo(0);
     assertThat(quarantine.admit(ONE)).isGreaterThan(0L);
     assertThat(quarantine.admit(TWO)).isGreaterThan(0L);
-    assertThat(quarantine.refusedForMsAfterBreak(ONE)).isGreaterThan(0L);
+    assertThat(quarantine.refusedForMsAfterFailure(ONE)).isGreaterThan(0L);
   }
 
   @Test
@@ -103,7 +103,7 @@
     quarantine.permitTrial(CONTENT);
     assertThat(quarantine.admit(ONE)).isEqualTo(0);
     assertThat(quarantine.admit(TWO)).isGreaterThan(0L);
-    assertThat(quarantine.refusedForMsAfterBreak(ONE)).isGreaterThan(0L);
+    assertThat(quarantine.refusedForMsAfterFailure(ONE)).isGreaterThan(0L);
     quarantine.install(Map.of(), Set.of());
     assertThat(quarantine.admit(TWO)).isEqualTo(0);
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetBackoffsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetBackoffsTest.java
@@ -22,7 +22,7 @@
   private final List<Runnable> scheduled = new ArrayList<>();
   private final List<ServiceId> over = new ArrayList<>();
   private final List<TargetId> begun = new ArrayList<>();
-  private final TargetBackoffs rests =
+  private final TargetBackoffs backoffs =
       new TargetBackoffs(
           () -> nowMs,
           (task, delayMs) -> {
@@ -39,29 +39,29 @@
 
   @Test
   void restsLastAtLeastAsLongAsAsked() {
-    rests.ask(target("a"), 3_000);
+    backoffs.start(target("a"), 3_000);
     nowMs = 2_999;
-    assertThat(rests.leftMs(new TargetId("a"))).isAtLeast(1);
+    assertThat(backoffs.remainingMs(new TargetId("a"))).isAtLeast(1);
     nowMs = 3_251;
-    assertThat(rests.leftMs(new TargetId("a"))).isEqualTo(0);
+    assertThat(backoffs.remainingMs(new TargetId("a"))).isEqualTo(0);
   }
 
   @Test
   void shorterRestsEndNoLongerOnes() {
-    rests.ask(target("a"), 3_000);
-    rests.ask(target("a"), 100);
-    assertThat(rests.leftMs(new TargetId("a"))).isIn(Range.closed(3_000L, 3_250L));
+    backoffs.start(target("a"), 3_000);
+    backoffs.start(target("a"), 100);
+    assertThat(backoffs.remainingMs(new TargetId("a"))).isIn(Range.closed(3_000L, 3_250L));
   }
 
   @Test
   void restsBeginOnceAndAreOverByTheClockOnly() {
-    rests.onBegin(target -> begun.add(target.id()));
-    rests.onOver(over::add);
-    rests.ask(target("a"), 1_000);
-    rests.ask(target("a"), 1_000);
+    backoffs.onStart(target -> begun.add(target.id()));
+    backoffs.onEnd(over::add);
+    backoffs.start(target("a"), 1_000);
+    backoffs.start(target("a"), 1_000);
     assertThat(begun).containsExactly(new TargetId("a"));
-    assertThat(rests.takeBegun().keySet()).containsExactly(new TargetId("a"));
-    assertThat(rests.takeBegun()).isEmpty();
+    assertThat(backoffs.takeStarted().keySet()).containsExactly(new TargetId("a"));
+    assertThat(backoffs.takeStarted()).isEmpty();
     Runnable early = scheduled.remove(0);
     nowMs = 500;
     early.run();
@@ -73,9 +73,9 @@
 
   @Test
   void memoryIsBounded() {
-    for (int i = 0; i < TargetBackoffs.MOST_TARGETS + 100; i++) {
-      rests.ask(target("t" + i), 10_000 + i);
+    for (int i = 0; i < TargetBackoffs.MAX_TARGETS + 100; i++) {
+      backoffs.start(target("t" + i), 10_000 + i);
     }
-    assertThat(rests.all()).hasSize(TargetBackoffs.MOST_TARGETS);
+    assertThat(backoffs.remainingMsByTarget()).hasSize(TargetBackoffs.MAX_TARGETS);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TrafficFixture.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TrafficFixture.java
@@ -74,12 +74,12 @@
     DecisionLog log = new DecisionLog(clock, 1, line -> {});
     Timers timers = (task, delayMs) -> () -> {};
     TargetQuotas quotas = new TargetQuotas(clock, log, timers, new SplittableRandom(1));
-    TargetBackoffs rests = new TargetBackoffs(clock, timers, new SplittableRandom(2), log);
+    TargetBackoffs backoffs = new TargetBackoffs(clock, timers, new SplittableRandom(2), log);
     TargetDepartures departures = new TargetDepartures(state);
-    KeyLoadMeter keyWork = new KeyLoadMeter();
+    KeyLoadMeter keyLoad = new KeyLoadMeter();
     this.quarantine = new RequestQuarantine(clock);
-    CrashDetector witness = new CrashDetector(state, null, timers, clock);
-    this.dispatcher = new Dispatcher(state, HERE, clock, new SplittableRandom(3), quotas, rests);
+    CrashDetector crashDetector = new CrashDetector(state, null, timers, clock);
+    this.dispatcher = new Dispatcher(state, HERE, clock, new SplittableRandom(3), quotas, backoffs);
     this.services =
         new ExchangeServices(
             state,
@@ -87,13 +87,13 @@
             new SendGate(clock),
             departures,
             quotas,
-            new SignalReader(null, quotas, rests, departures, null, log),
-            rests,
+            new SignalReader(null, quotas, backoffs, departures, null, log),
+            backoffs,
             new TargetClient(TargetClientLimits.DEFAULT, address -> 1),
             null,
             quarantine,
-            witness,
-            keyWork,
+            crashDetector,
+            keyLoad,
             timers,
             clock,
             new RequestHeaders("attempt", "deadline", "target", "key"),
@@ -101,7 +101,8 @@
             new RequestMetrics(),
             () -> false);
     this.reports =
-        new TrafficReports(keyWork, dispatcher, quotas, rests, departures, quarantine, witness);
+        new TrafficReports(
+            keyLoad, dispatcher, quotas, backoffs, departures, quarantine, crashDetector);
   }
 
   /** Returns what the link to the fleet needs. */
@@ -139,8 +140,8 @@
   /** Places a request without a key now; empty if nothing takes it. */
   public Optional<Placed> place() {
     Placed placed = new Placed();
-    dispatcher.submit(placed.wish);
-    dispatcher.withdraw(placed.wish);
+    dispatcher.submit(placed.slotRequest);
+    dispatcher.withdraw(placed.slotRequest);
     return Optional.ofNullable(placed.slot).map(slot -> placed);
   }
 
@@ -149,18 +150,18 @@
     Optional<Placed> placed = place();
     boolean sent =
         placed.filter(p -> p.target().id().equals(target)).filter(Placed::begins).isPresent();
-    placed.ifPresent(Placed::giveBack);
+    placed.ifPresent(Placed::release);
     return sent;
   }
 
   /** A request that has a slot at a target and waits for its connection. */
   public final class Placed implements SlotRequest.Listener {
 
-    private final SlotRequest wish;
+    private final SlotRequest slotRequest;
     private Slot slot;
 
     Placed() {
-      wish = new SlotRequest(ROUTE, SERVICE, OptionalInt.empty(), 0, this);
+      slotRequest = new SlotRequest(ROUTE, SERVICE, OptionalInt.empty(), 0, this);
     }
 
     @Override
@@ -177,8 +178,8 @@
     }
 
     /** Gives its slot back. */
-    public void giveBack() {
-      dispatcher.giveBack(slot, wish, AttemptOutcome.GIVEN_UP, 0);
+    public void release() {
+      dispatcher.release(slot, slotRequest, AttemptOutcome.GIVEN_UP, 0);
     }
 
     /** Its connection is there: tells whether its first byte goes out. */
@@ -194,7 +195,7 @@
               null,
               null,
               "one",
-              wish.route(),
+              slotRequest.route(),
               SERVICE,
               OptionalInt.empty(),
               IDENTITY,
@@ -204,7 +205,7 @@
               DEADLINE_MS,
               clock.upper().plusMs(DEADLINE_MS),
               CONFIGURATION.version());
-      return new TargetAttempt(services, call, wish, slot, runs, null)
+      return new TargetAttempt(services, call, slotRequest, slot, runs, null)
           .onConnection(HttpFields.build());
     }
   }
