--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
@@ -348,12 +348,12 @@
    * with the length of the outage, since its end is unknown.
    */
   private Optional<TargetRefusal> refusalOfStuckKey(SlotRequest request, RoutingSnapshot snapshot) {
-    OptionalLong sinceMs = state.movesBlockedSinceMs();
-    if (request.key().isEmpty() || sinceMs.isEmpty()) {
+    OptionalLong blockedSinceMs = state.movesBlockedSinceMs();
+    if (request.key().isEmpty() || blockedSinceMs.isEmpty()) {
       return Optional.empty();
     }
-    long heldUpMs = clock.nowMs() - sinceMs.getAsLong();
-    long retryAfterMs = Math.max(MIN_STUCK_RETRY_MS, Math.min(MAX_STUCK_RETRY_MS, heldUpMs));
+    long blockedMs = clock.nowMs() - blockedSinceMs.getAsLong();
+    long retryAfterMs = Math.max(MIN_STUCK_RETRY_MS, Math.min(MAX_STUCK_RETRY_MS, blockedMs));
     return snapshot
         .owners(request.service())
         .flatMap(owners -> owners.find(request.key().getAsInt()))
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ExchangeServices.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ExchangeServices.java
@@ -10,26 +10,26 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What every exchange uses.
+ * The services shared by all exchanges.
  *
- * @param state what routing knows; not null
- * @param dispatcher gives slots; not null
- * @param gate decides at the first byte whether a request may be sent; not null
- * @param departures tells which targets have said that they leave; not null
- * @param quotas tells which targets name a limit; not null
- * @param signals reads what targets say in their answers; not null
- * @param backoffs tells which targets are left alone; not null
- * @param client talks to targets; not null
- * @param budgets bound repeats; not null
- * @param quarantine tells what must not be sent; not null
- * @param crashDetector finds out under which requests targets end; not null
- * @param keyLoad sums up the work of keys; not null
+ * @param state the routing state; not null
+ * @param dispatcher assigns slots; not null
+ * @param gate checks before the first byte whether a request may be sent; not null
+ * @param departures tracks the targets that announced that they leave; not null
+ * @param quotas tracks the rate limits of targets; not null
+ * @param signals reads the signals of targets in their responses; not null
+ * @param backoffs tracks the targets that asked for a back-off; not null
+ * @param client the HTTP client for targets; not null
+ * @param budgets limit retries; not null
+ * @param quarantine holds back requests that crash targets; not null
+ * @param crashDetector detects during which requests targets end; not null
+ * @param keyLoad sums up the load of keys; not null
  * @param timers run deadlines; not null
  * @param clock the time; not null
- * @param headers the header fields in use; not null
- * @param log takes decisions; not null
+ * @param headers the names of the header fields; not null
+ * @param log the decision log; not null
  * @param metrics counts requests; not null
- * @param stopping whether this process is about to end; not null
+ * @param stopping returns whether this process is shutting down; not null
  */
 record ExchangeServices(
     RoutingState state,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
@@ -64,11 +64,11 @@
     if (endIfQuarantined(services.quarantine().admit(call.identity()))) {
       return;
     }
-    boolean turnedAway = services.dispatcher().shouldShed(slotRequest);
-    if (turnedAway) {
+    boolean shed = services.dispatcher().shouldShed(slotRequest);
+    if (shed) {
       recordUnservedLoad();
     }
-    decide(() -> machine.onStart(turnedAway, nowMs));
+    decide(() -> machine.onStart(shed, nowMs));
   }
 
   @Override
@@ -140,7 +140,7 @@
   }
 
   @Override
-  public void onAnswer(TargetAttempt attempt, int status, HttpFields headers, byte[] body) {
+  public void onResponse(TargetAttempt attempt, int status, HttpFields headers, byte[] body) {
     response = new TargetAnswerBody(status, headers, body);
     decide(() -> machine.onAnswer(status, services.clock().nowMs()));
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayServer.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayServer.java
@@ -29,7 +29,7 @@
 import org.eclipse.jetty.server.ServerConnector;
 
 /**
- * Listens for callers and for the question whether this gateway is ready, and carries requests.
+ * The HTTP server of a gateway: accepts requests of callers, readiness checks and metrics scrapes.
  *
  * @since 0.2
  */
@@ -40,13 +40,13 @@
   private static final int ACCEPT_BACKLOG = 512;
   private static final int MAX_HEADER_BYTES = 32 * 1024;
 
-  /** Longer than callers leave a connection unused before they use it again. */
+  /** Longer than callers keep a connection idle between two requests. */
   private static final long CALLER_IDLE_MS = 120_000;
 
-  /** A target that is there accepts within a few milliseconds; a silent one never does. */
+  /** A running target accepts within a few milliseconds; an unreachable one never does. */
   private static final long CONNECT_TIMEOUT_MS = 300;
 
-  /** Shorter than the time after which targets close unused connections, 10 s as announced. */
+  /** Shorter than the 10 s after which targets are specified to close idle connections. */
   private static final long TARGET_IDLE_MS = 7_000;
 
   private static final int TARGET_THREADS = 8;
@@ -64,16 +64,16 @@
   /**
    * Creates a server that does not listen yet.
    *
-   * @param settings where it listens; not null
-   * @param state what routing knows; not null
+   * @param settings the settings, with the addresses to listen on; not null
+   * @param state the routing state; not null
    * @param clock the time; not null
-   * @param log takes decisions; not null
+   * @param log the decision log; not null
    * @param metrics counts requests; not null
-   * @param answers reads what targets say; not null
-   * @param unknownFields counts what nobody reads; not null
-   * @param page what is counted, as text; not null
-   * @param ready whether callers may be sent here; not null
-   * @param stopping whether this process is about to end; not null
+   * @param decoder decodes the signals in responses of targets; not null
+   * @param unknownFields counts unknown header fields of responses; not null
+   * @param page the metrics page; not null
+   * @param ready returns whether callers may be directed to this gateway; not null
+   * @param stopping returns whether this process is shutting down; not null
    */
   public GatewayServer(
       GatewaySettings settings,
@@ -81,7 +81,7 @@
       MillisClock clock,
       DecisionLog log,
       RequestMetrics metrics,
-      AnswerDecoder answers,
+      AnswerDecoder decoder,
       UnknownFields unknownFields,
       MetricsPage page,
       BooleanSupplier ready,
@@ -114,7 +114,7 @@
             new SendGate(clock),
             departures,
             quotas,
-            new SignalReader(answers, quotas, backoffs, departures, unknownFields, log),
+            new SignalReader(decoder, quotas, backoffs, departures, unknownFields, log),
             backoffs,
             client,
             new RetryBudgets(settings, clock),
@@ -160,7 +160,7 @@
         () -> backoffs.remainingMsByTarget().size());
   }
 
-  /** Few connections: one thread accepts and reads them. */
+  /** Creates a connector for few connections, with one thread to accept and read them. */
   private ServerConnector plainConnector(InetSocketAddress address) {
     ServerConnector connector = new ServerConnector(server, 0, 1, new HttpConnectionFactory());
     connector.setHost(address.getHostString());
@@ -192,17 +192,16 @@
     try {
       server.start();
     } catch (Exception e) {
-      throw new CodedException(
-          ErrorCode.UNAVAILABLE, "a port cannot be opened: " + e.getMessage(), e);
+      throw new CodedException(ErrorCode.UNAVAILABLE, "cannot open a port: " + e.getMessage(), e);
     }
   }
 
-  /** Closes the ports and every connection. */
+  /** Closes the ports and all connections. */
   public void stop() {
     try {
       server.stop();
     } catch (Exception e) {
-      throw new CodedException(ErrorCode.INTERNAL, "the server does not stop", e);
+      throw new CodedException(ErrorCode.INTERNAL, "cannot stop the server", e);
     }
     client.stop();
     probe.close();
@@ -210,10 +209,10 @@
   }
 
   /**
-   * Takes no new connections and closes those on which no request is in progress.
+   * Accepts no new connections and closes those without a request in progress.
    *
-   * <p>A caller that sends a request at that moment finds its connection closed and knows that
-   * nobody has read it.
+   * <p>A caller that sends a request at that moment finds its connection closed and can tell that
+   * the request was not read.
    */
   public void closeIdleConnections() {
     callers.close();
@@ -225,7 +224,7 @@
   }
 
   /**
-   * Returns how many requests have no answer yet.
+   * Returns the number of requests without a response.
    *
    * @return at least 0
    */
@@ -234,7 +233,7 @@
   }
 
   /**
-   * Returns what traffic measures.
+   * Returns the reports on the traffic.
    *
    * @return never null
    */
@@ -252,7 +251,7 @@
   }
 
   /**
-   * Returns the port for scrapes of the metrics.
+   * Returns the port for metrics scrapes.
    *
    * @return the port, once started; empty if there is none
    */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ReadinessHandler.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/ReadinessHandler.java
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Answers on its own port whether this gateway is ready; everything else is traffic. */
+/** Serves readiness checks on their own port; passes requests on other ports on. */
 final class ReadinessHandler extends Handler.Wrapper {
 
   private final Connector readinessConnector;
@@ -28,10 +28,10 @@
     if (request.getConnectionMetaData().getConnector() != readinessConnector) {
       return super.handle(request, response, callback);
     }
-    boolean known = path.equals(request.getHttpURI().getPath());
+    boolean pathMatches = path.equals(request.getHttpURI().getPath());
     int status = ready.getAsBoolean() ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503;
     CallerResponseWriter.writeEmpty(
-        response, known ? status : HttpStatus.NOT_FOUND_404, 0, false, callback);
+        response, pathMatches ? status : HttpStatus.NOT_FOUND_404, 0, false, callback);
     return true;
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RecentResponses.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RecentResponses.java
@@ -5,40 +5,39 @@
 import java.util.OptionalLong;
 
 /**
- * When requests were last answered, as far as few bytes can tell.
+ * A fixed-size table of the times at which requests were last answered.
  *
- * <p>Each request has one place, which others share: the newest stays. A request that many callers
- * make is therefore found, one that came once a while ago perhaps not. Safe for use by several
- * threads.
+ * <p>Several fingerprints share a bucket, which keeps the newest. A request that many callers send
+ * is therefore found; one that was sent once, a while ago, may have been overwritten. Thread-safe.
  */
 final class RecentResponses {
 
-  /** A power of two; 64 KB. */
-  private static final int PLACES = 4_096;
+  /** A power of two; both arrays together take 64 KB. */
+  private static final int BUCKETS = 4_096;
 
   private static final long NEVER = Long.MIN_VALUE;
 
-  private final long[] fingerprints = new long[PLACES];
-  private final long[] answeredMs = new long[PLACES];
+  private final long[] fingerprints = new long[BUCKETS];
+  private final long[] answeredMs = new long[BUCKETS];
 
   RecentResponses() {
     Arrays.fill(answeredMs, NEVER);
   }
 
   synchronized void add(RequestFingerprint fingerprint, long atMs) {
-    int place = placeOf(fingerprint);
-    fingerprints[place] = fingerprint.value();
-    answeredMs[place] = atMs;
+    int bucket = bucketOf(fingerprint);
+    fingerprints[bucket] = fingerprint.value();
+    answeredMs[bucket] = atMs;
   }
 
-  /** Returns when a request was answered last, a time of the clock; empty if that is not known. */
+  /** Returns when a request was last answered, in milliseconds of the clock; empty if unknown. */
   synchronized OptionalLong lastMs(RequestFingerprint fingerprint) {
-    int place = placeOf(fingerprint);
-    boolean known = answeredMs[place] != NEVER && fingerprints[place] == fingerprint.value();
-    return known ? OptionalLong.of(answeredMs[place]) : OptionalLong.empty();
+    int bucket = bucketOf(fingerprint);
+    boolean known = answeredMs[bucket] != NEVER && fingerprints[bucket] == fingerprint.value();
+    return known ? OptionalLong.of(answeredMs[bucket]) : OptionalLong.empty();
   }
 
-  private static int placeOf(RequestFingerprint fingerprint) {
-    return (int) fingerprint.value() & (PLACES - 1);
+  private static int bucketOf(RequestFingerprint fingerprint) {
+    return (int) fingerprint.value() & (BUCKETS - 1);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestFacts.java
@@ -80,10 +80,10 @@
   private SendFact targetServes(TargetId target) {
     // Read before the targets: a concurrent change can only make them newer than this time.
     UpperTime asOf = services.state().targetsConfirmed();
-    boolean serves =
+    boolean isServing =
         services.state().current().target(target).filter(FleetTarget::isReady).isPresent()
             && !services.departures().isLeaving(target);
-    return SendFact.heard(serves, asOf, unlessSilent(TARGETS_MAX_AGE_MS));
+    return SendFact.heard(isServing, asOf, effectiveMaxAgeMs(TARGETS_MAX_AGE_MS));
   }
 
   private SendFact limitKept(TargetId target, UpperTime now) {
@@ -116,7 +116,8 @@
                     configuration.version() == call.configurationVersion()
                         || leadsToService(configuration))
             .isPresent();
-    return SendFact.heard(inForce, asOf, unlessSilent(services.state().configurationMaxAgeMs()));
+    return SendFact.heard(
+        inForce, asOf, effectiveMaxAgeMs(services.state().configurationMaxAgeMs()));
   }
 
   private boolean leadsToService(RoutingConfiguration configuration) {
@@ -128,7 +129,7 @@
         .isPresent();
   }
 
-  private long unlessSilent(long maxAgeMs) {
+  private long effectiveMaxAgeMs(long maxAgeMs) {
     return services.state().isStoreSilent() ? UNBOUNDED_MS : maxAgeMs;
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RetryBudgets.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RetryBudgets.java
@@ -7,10 +7,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The budgets for repeats, one for each service. Safe for use by several threads. */
+/** The retry budgets, one per service. Thread-safe. */
 final class RetryBudgets {
 
-  /** Part of the budget that is used: gateways may be fewer or more than is known. */
+  /** Share of the budget in use, since the known number of gateways may be wrong. */
   private static final double USED_SHARE = 0.6;
 
   private final GatewaySettings settings;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SignalReader.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SignalReader.java
@@ -9,9 +9,9 @@
 import io.cuminvalve.router.target.TargetAnswer;
 
 /**
- * Reads what targets say in the heads of their answers, and hands it on to those whom it concerns.
+ * Reads the signals in the response headers of targets and dispatches them to their handlers.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class SignalReader {
 
@@ -37,20 +37,20 @@
     this.log = log;
   }
 
-  /** Reads the head of an answer; nothing is done about it yet. */
-  TargetSignals read(TargetAnswer answer) {
-    return decoder.decode(answer.status(), answer.headers());
+  /** Decodes the signals in the headers of a response without acting on them. */
+  TargetSignals read(TargetAnswer response) {
+    return decoder.decode(response.status(), response.headers());
   }
 
   /**
-   * Takes what a target says.
+   * Applies the signals of a target.
    *
-   * @param answering the run that answered; not null
-   * @param signals what it says; not null
-   * @param sentMs when its request was sent; a time of the clock; milliseconds
+   * @param responding the run of the target that responded; not null
+   * @param signals its signals; not null
+   * @param sentMs when the request was sent; a time of the clock in milliseconds
    */
-  void onAnswer(FleetTarget answering, TargetSignals signals, long sentMs) {
-    TargetId target = answering.id();
+  void onAnswer(FleetTarget responding, TargetSignals signals, long sentMs) {
+    TargetId target = responding.id();
     unknownFields.onAnswer(signals.unknownFields(), target);
     for (TargetSignals.Kind kind : signals.unreadable()) {
       log.write("target_signal_unreadable", "target={} signal={}", target, kind);
@@ -61,6 +61,6 @@
     if (signals.leaving()) {
       departures.onLeaving(target);
     }
-    signals.backoffMs().ifPresent(backoffMs -> backoffs.start(answering, backoffMs));
+    signals.backoffMs().ifPresent(backoffMs -> backoffs.start(responding, backoffMs));
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SuspectTrials.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SuspectTrials.java
@@ -8,23 +8,23 @@
 import java.util.function.Consumer;
 
 /**
- * Lets requests through one by one under which several targets have ended, but too few for a
- * quarantine.
+ * Admits suspect requests one at a time: several targets have ended while running them, but too few
+ * for a quarantine.
  *
- * <p>Copies come in bursts, at many gateways, and all that are sent before the next target ends end
- * there as well. The holder of the term permits one at a time. Without an answer of it one is sent
- * after a while. Safe for use by several threads.
+ * <p>Copies of a suspect request arrive in bursts at many gateways, and each copy sent before the
+ * next target crashes may crash one more. The holder of the term therefore permits one at a time.
+ * If it does not reply, one is sent after a timeout. Thread-safe.
  */
 final class SuspectTrials {
 
-  /** When the caller of a request that is held back should come back. */
+  /** Retry delay for the caller of a request that is held back. */
   static final long RETRY_AFTER_MS = 300;
 
-  /** For how long a permit may be used. */
+  /** Validity of a permit. */
   static final long PERMIT_MS = 1_000;
 
-  /** After this time without a permit one is sent all the same. */
-  static final long ALONE_MS = 3_000;
+  /** Time without a permit after which one request is sent anyway. */
+  static final long PERMIT_TIMEOUT_MS = 3_000;
 
   private final MillisClock clock;
   private final Map<RequestFingerprint, Suspect> suspects = new HashMap<>();
@@ -34,59 +34,62 @@
     this.clock = clock;
   }
 
-  /** Sets who asks the holder for a permit, on any thread. */
+  /** Sets the listener that asks the holder for a permit; called on any thread. */
   void onWanted(Consumer<RequestFingerprint> listener) {
     onWanted = listener;
   }
 
-  /** Forgets requests that are not suspect any more. */
+  /** Removes requests that are no longer suspect. */
   synchronized void retain(Set<RequestFingerprint> suspected) {
     suspects.keySet().retainAll(suspected);
   }
 
-  /** The holder lets one be sent. */
+  /** Permits one request to be sent, as granted by the holder. */
   synchronized void permit(RequestFingerprint fingerprint) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect != null) {
       suspect.permittedUntilMs = clock.nowMs() + PERMIT_MS;
-      suspect.waitsSinceMs = clock.nowMs();
+      suspect.waitingSinceMs = clock.nowMs();
     }
   }
 
-  /** Uses a permit to send one. Returns for how long it is held back, 0 if it may be sent. */
+  /**
+   * Takes a permit to send one request. Returns for how many milliseconds it is held back; 0 if it
+   * may be sent.
+   */
   long take(RequestFingerprint fingerprint) {
-    boolean asks;
+    boolean requestPermit;
     synchronized (this) {
       long nowMs = clock.nowMs();
       Suspect suspect = suspects.computeIfAbsent(fingerprint, id -> new Suspect(nowMs));
-      boolean alone = nowMs - suspect.waitsSinceMs >= ALONE_MS;
-      if (nowMs < suspect.permittedUntilMs || alone) {
+      boolean timedOut = nowMs - suspect.waitingSinceMs >= PERMIT_TIMEOUT_MS;
+      if (nowMs < suspect.permittedUntilMs || timedOut) {
         suspect.permittedUntilMs = nowMs;
-        suspect.waitsSinceMs = nowMs;
+        suspect.waitingSinceMs = nowMs;
         return 0;
       }
-      asks = nowMs >= suspect.asksAgainMs;
-      if (asks) {
-        suspect.asksAgainMs = nowMs + RETRY_AFTER_MS;
+      requestPermit = nowMs >= suspect.nextRequestMs;
+      if (requestPermit) {
+        suspect.nextRequestMs = nowMs + RETRY_AFTER_MS;
       }
     }
-    if (asks) {
+    if (requestPermit) {
       onWanted.accept(fingerprint);
     }
     return RETRY_AFTER_MS;
   }
 
-  /** What this gateway has asked for and got. */
+  /** The state of the permits for one request. */
   private static final class Suspect {
 
-    private long waitsSinceMs;
+    private long waitingSinceMs;
     private long permittedUntilMs;
-    private long asksAgainMs;
+    private long nextRequestMs;
 
     Suspect(long nowMs) {
-      this.waitsSinceMs = nowMs;
+      this.waitingSinceMs = nowMs;
       this.permittedUntilMs = nowMs;
-      this.asksAgainMs = nowMs;
+      this.nextRequestMs = nowMs;
     }
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
@@ -33,7 +33,7 @@
   interface Listener {
 
     /** The target ran the request and its response is complete. */
-    void onAnswer(TargetAttempt attempt, int status, HttpFields headers, byte[] body);
+    void onResponse(TargetAttempt attempt, int status, HttpFields headers, byte[] body);
 
     /** The target stated that it did not run the request and never will. */
     void onNotExecuted(TargetAttempt attempt, int status);
@@ -46,7 +46,7 @@
   }
 
   /** Responses are buffered completely before they are relayed; larger ones fail the attempt. */
-  private static final int MAX_ANSWER_BYTES = 64 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
   private static final int FIRST_ERROR_STATUS = 500;
 
@@ -147,9 +147,9 @@
   }
 
   @Override
-  public void onAnswer(TargetAnswer answer) {
-    TargetSignals signals = services.signals().read(answer);
-    if (!isForThisAttempt(signals) || answer.headers().contains(HttpHeader.CONTENT_ENCODING)) {
+  public void onAnswer(TargetAnswer response) {
+    TargetSignals signals = services.signals().read(response);
+    if (!isForThisAttempt(signals) || response.headers().contains(HttpHeader.CONTENT_ENCODING)) {
       exchange.abandon("the response belongs to another request");
       fail(true, "foreign_answer");
       return;
@@ -157,8 +157,8 @@
     if (!signals.isFromOtherThan(slot.target().id().name())) {
       services.signals().onAnswer(slot.target(), signals, sentMs);
     }
-    Content.Source.asByteArrayAsync(answer.body(), MAX_ANSWER_BYTES)
-        .whenComplete((body, failure) -> onBodyRead(answer, signals, body, failure));
+    Content.Source.asByteArrayAsync(response.body(), MAX_RESPONSE_BYTES)
+        .whenComplete((body, failure) -> onBodyRead(response, signals, body, failure));
   }
 
   private boolean isForThisAttempt(TargetSignals signals) {
@@ -166,7 +166,7 @@
   }
 
   private void onBodyRead(
-      TargetAnswer answer, TargetSignals signals, byte[] body, Throwable failure) {
+      TargetAnswer response, TargetSignals signals, byte[] body, Throwable failure) {
     if (failure != null) {
       exchange.abandon("the response was incomplete");
       onBroken();
@@ -177,19 +177,19 @@
       detectReplacement(signals);
       outcome = AttemptOutcome.FAILED;
       if (ended.compareAndSet(false, true)) {
-        listener.onNotExecuted(this, answer.status());
+        listener.onNotExecuted(this, response.status());
       }
       return;
     }
     services.crashDetector().onAlive(slot.target().id(), sentMs);
-    boolean failed = answer.status() >= FIRST_ERROR_STATUS;
+    boolean failed = response.status() >= FIRST_ERROR_STATUS;
     outcome = failed ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
     if (!failed) {
       services.quarantine().onAnswer(call.identity());
     }
     slotRequest.setResponseBytes(body.length);
     if (ended.compareAndSet(false, true)) {
-      listener.onAnswer(this, answer.status(), answer.headers(), body);
+      listener.onResponse(this, response.status(), response.headers(), body);
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetBackoffs.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetBackoffs.java
@@ -90,7 +90,7 @@
     if (endsMs.size() > MAX_TARGETS) {
       endsMs.entrySet().stream()
           .min(Comparator.comparingLong(Map.Entry::getValue))
-          .ifPresent(first -> endsMs.remove(first.getKey()));
+          .ifPresent(earliest -> endsMs.remove(earliest.getKey()));
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetDepartures.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetDepartures.java
@@ -6,10 +6,10 @@
 import java.util.function.Consumer;
 
 /**
- * Notices the first answer in which a target says that it leaves.
+ * Detects the first response in which a target announces that it leaves.
  *
- * <p>That holds here at once, and for the fleet once the control thread has heard of it. Set by the
- * control thread, used by all.
+ * <p>This gateway treats the target as leaving at once, the fleet after the control thread has
+ * reported it. Configured by the control thread, used by any thread.
  *
  * @since 0.2
  */
@@ -26,13 +26,14 @@
 
   private void forgetReported() {
     RoutingSnapshot known = state.current();
-    unreported.removeIf(run -> known.leaving().contains(run) || known.target(run).isEmpty());
+    unreported.removeIf(
+        target -> known.leaving().contains(target) || known.target(target).isEmpty());
   }
 
   /**
-   * Sets who is told that a target has said that it leaves.
+   * Sets the listener for targets that announce that they leave.
    *
-   * @param listener called on any thread, perhaps several times for a target; must not block; not
+   * @param listener called on any thread, possibly several times per target; must not block; not
    *     null
    */
   public void onSeen(Consumer<TargetId> listener) {
@@ -40,7 +41,7 @@
   }
 
   /**
-   * A target says that it leaves.
+   * Records that a target announced that it leaves.
    *
    * @param target the run of the target; not null
    */
@@ -52,10 +53,10 @@
   }
 
   /**
-   * Tells whether a target has said, to this gateway or another one, that it leaves.
+   * Returns whether a target is known to have announced, to any gateway, that it leaves.
    *
    * @param target the run of the target; not null
-   * @return whether this gateway knows that it has
+   * @return false also if this gateway does not know yet
    */
   boolean isLeaving(TargetId target) {
     return unreported.contains(target) || state.current().leaving().contains(target);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetRefusal.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetRefusal.java
@@ -3,22 +3,22 @@
 import io.cuminvalve.core.id.TargetId;
 
 /**
- * Why a request is sent to no target: the only ones that may run it take no more for now.
+ * The refusal of a request because no target that may run it accepts requests for now.
  *
- * @param target the one that may be sent a request first; not null
- * @param cause why it takes none; not null
- * @param limitPerS the limit that it names; requests a second, 0 if it rests
- * @param retryAfterMs when the caller should come back; milliseconds
+ * @param target the target that accepts requests again first; not null
+ * @param cause why it accepts none; not null
+ * @param limitPerS its limit in requests per second; 0 unless the cause is the limit
+ * @param retryAfterMs the retry delay for the caller in milliseconds
  */
 record TargetRefusal(TargetId target, Cause cause, double limitPerS, long retryAfterMs) {
 
-  /** Why a target takes no more. */
+  /** Why a target accepts no more requests. */
   enum Cause {
-    /** It has named a limit. */
+    /** It announced a rate limit, which is used up. */
     LIMIT,
-    /** It has asked this gateway for rest. */
+    /** It asked this gateway for a back-off. */
     REST,
-    /** It owns the key and cannot run the request, and the key cannot move for now. */
+    /** It owns the key but cannot run the request, and the key cannot move for now. */
     STUCK_KEY
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 
 /**
- * What traffic measured, for the holder of the term.
+ * Collects the measurements of the traffic for the holder of the term.
  *
  * @since 0.2
  */
@@ -41,7 +41,7 @@
   }
 
   /**
-   * Returns which requests are sent to no target.
+   * Returns the quarantine of requests that crash targets.
    *
    * @return never null
    */
@@ -50,7 +50,7 @@
   }
 
   /**
-   * Returns the limits that targets name.
+   * Returns the rate limits of targets.
    *
    * @return never null
    */
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Returns who notices that targets leave.
+   * Returns the tracker of leaving targets.
    *
    * @return never null
    */
@@ -68,7 +68,7 @@
   }
 
   /**
-   * Sets who is told of requests under which a target ended, at once.
+   * Sets the listener for requests during which a target ended, called without delay.
    *
    * @param listener called on any thread; must not block; not null
    */
@@ -77,7 +77,7 @@
   }
 
   /**
-   * Takes the work of keys since the last call.
+   * Returns the load of keys since the last call.
    *
    * @return never null
    */
@@ -86,25 +86,25 @@
   }
 
   /**
-   * Takes the rests that have begun since the last call.
+   * Returns the back-offs started since the last call.
    *
-   * @return what is left of them; milliseconds by target; never null
+   * @return the remaining milliseconds by target; never null
    */
   public Map<TargetId, Long> takeStartedBackoffsMs() {
     return backoffs.takeStarted();
   }
 
   /**
-   * Returns for how long this gateway still leaves targets alone that have asked for rest.
+   * Returns the remaining time of all current back-offs.
    *
-   * @return milliseconds by target; never null
+   * @return the remaining milliseconds by target; never null
    */
   public Map<TargetId, Long> backoffsMs() {
     return backoffs.remainingMsByTarget();
   }
 
   /**
-   * Takes the times of targets since the last call.
+   * Returns the relative response times of targets since the last call.
    *
    * @return never null
    */
@@ -113,7 +113,7 @@
   }
 
   /**
-   * Takes the targets that were found replaced by others since the last call.
+   * Returns the targets found replaced since the last call.
    *
    * @return never null
    */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/package-info.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/package-info.java
@@ -1,2 +1,2 @@
-/** The path of a request: from the caller to a target and back. */
+/** The request path of a gateway: from the caller to a target and back. */
 package io.cuminvalve.gateway.traffic;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/RequestQuarantineTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/RequestQuarantineTest.java
@@ -121,7 +121,7 @@
   void withoutAnAnswerOfTheHolderOneIsSentAfterWhile() {
     quarantine.install(Map.of(), Set.of(CONTENT));
     assertThat(quarantine.admit(ONE)).isGreaterThan(0L);
-    clock.advance(SuspectTrials.ALONE_MS);
+    clock.advance(SuspectTrials.PERMIT_TIMEOUT_MS);
     assertThat(quarantine.admit(ONE)).isEqualTo(0);
     assertThat(quarantine.admit(ONE)).isGreaterThan(0L);
   }
