--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CrashDetectorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CrashDetectorTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A connection that breaks is no crash by itself. */
+/** A broken connection alone does not count as a crash. */
 class CrashDetectorTest {
 
   private static final TargetId TARGET_ID = new TargetId("core-1");
@@ -35,7 +35,7 @@
   private final VirtualClock clock = new VirtualClock(1_000);
   private final RoutingState state = new RoutingState(10);
   private final List<String> crashed = new ArrayList<>();
-  private TargetProbe.Finding finding = TargetProbe.Finding.SILENT;
+  private TargetProbe.Finding probeResult = TargetProbe.Finding.SILENT;
   private int probes;
   private CrashDetector crashDetector;
 
@@ -47,7 +47,7 @@
             state,
             (address, onDone) -> {
               probes++;
-              onDone.accept(finding);
+              onDone.accept(probeResult);
             },
             (task, delayMs) -> {
               clock.schedule(delayMs, task);
@@ -60,8 +60,8 @@
 
   @Test
   void targetsThatRefuseConnectionsHaveEnded() {
-    breaksOff("one");
-    breaksOff("two");
+    breakConnection("one");
+    breakConnection("two");
     assertThat(crashed).isEmpty();
     crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).containsExactly("one", "two");
@@ -70,27 +70,27 @@
   }
 
   @Test
-  void targetsThatNobodyElseAsksAreProbedOnce() {
-    finding = TargetProbe.Finding.REFUSED;
-    breaksOff("one");
-    breaksOff("two");
+  void targetsWithoutOtherRequestsAreProbedOnce() {
+    probeResult = TargetProbe.Finding.REFUSED;
+    breakConnection("one");
+    breakConnection("two");
     clock.advance(1_000);
     assertThat(crashed).containsExactly("one", "two");
     assertThat(probes).isEqualTo(1);
   }
 
   @Test
-  void targetsThatListenLive() {
-    finding = TargetProbe.Finding.LISTENING;
-    breaksOff("one");
+  void listeningTargetsAreAlive() {
+    probeResult = TargetProbe.Finding.LISTENING;
+    breakConnection("one");
     clock.advance(1_000);
     crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).isEmpty();
   }
 
   @Test
-  void answersToLaterRequestsShowThatTheTargetLivesAndSpareTheProbe() {
-    breaksOff("one");
+  void responsesToLaterRequestsProveTheTargetAliveWithoutProbe() {
+    breakConnection("one");
     clock.advance(10);
     crashDetector.onAlive(TARGET_ID, clock.nowMs());
     clock.advance(1_000);
@@ -100,19 +100,19 @@
   }
 
   @Test
-  void answersToEarlierRequestsShowNothing() {
+  void responsesToEarlierRequestsProveNothing() {
     clock.advance(100);
     final long beforeMs = clock.nowMs();
     clock.advance(100);
-    breaksOff("one");
+    breakConnection("one");
     crashDetector.onAlive(TARGET_ID, beforeMs);
     crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).containsExactly("one");
   }
 
   @Test
-  void silentTargetsHaveEndedOnceTheRegistryHasThemNoLonger() {
-    breaksOff("one");
+  void silentTargetsHaveEndedOnceTheyAreUnregistered() {
+    breakConnection("one");
     clock.advance(4_000);
     assertThat(crashed).isEmpty();
     state.update(snapshot -> snapshot.withTargets(List.of()));
@@ -120,8 +120,8 @@
   }
 
   @Test
-  void whatBrokeLongBeforeTheEndHadNoPartInIt() {
-    breaksOff("one");
+  void attemptsThatBrokeLongBeforeTheEndAreIgnored() {
+    breakConnection("one");
     clock.advance(60_000);
     state.update(snapshot -> snapshot.withTargets(List.of()));
     assertThat(crashed).isEmpty();
@@ -130,14 +130,14 @@
   @Test
   void memoryIsBounded() {
     for (int i = 0; i < 10_000; i++) {
-      breaksOff("attempt-" + i);
+      breakConnection("attempt-" + i);
     }
     crashDetector.onEnded(TARGET_ID);
     assertThat(crashed.size()).isLessThan(1_000);
     assertThat(crashed).isNotEmpty();
   }
 
-  private void breaksOff(String attemptId) {
+  private void breakConnection(String attemptId) {
     long nowMs = clock.nowMs();
     crashDetector.onBroken(new BrokenAttempt(attemptId, IDENTITY, TARGET_ID, nowMs, nowMs), TARGET);
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/DispatcherTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/DispatcherTest.java
@@ -28,8 +28,8 @@
 class DispatcherTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
-  private static final DataCentreId HERE = new DataCentreId("here");
-  private static final DataCentreId THERE = new DataCentreId("there");
+  private static final DataCentreId LOCAL = new DataCentreId("here");
+  private static final DataCentreId REMOTE = new DataCentreId("there");
   private static final TargetId NEAR = new TargetId("near");
   private static final TargetId FAR = new TargetId("far");
 
@@ -37,7 +37,7 @@
   private long nowMs;
   private final RoutingState state = new RoutingState(10);
   private final List<Runnable> scheduled = new ArrayList<>();
-  private final List<QuotaRequest> questions = new ArrayList<>();
+  private final List<QuotaRequest> quotaRequests = new ArrayList<>();
   private final TargetQuotas quotas =
       new TargetQuotas(
           () -> nowMs,
@@ -57,21 +57,21 @@
           new SplittableRandom(3),
           new DecisionLog(() -> nowMs, 1, line -> {}));
   private final Dispatcher dispatcher =
-      new Dispatcher(state, HERE, () -> nowMs, new SplittableRandom(1), quotas, backoffs);
+      new Dispatcher(state, LOCAL, () -> nowMs, new SplittableRandom(1), quotas, backoffs);
   private final List<String> placed = new ArrayList<>();
   private final List<Slot> slots = new ArrayList<>();
   private final Map<String, TargetRefusal> refused = new HashMap<>();
 
   @Test
   void requestsWithoutKeyStayInTheirDataCentre() {
-    targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY), target(FAR, REMOTE, TargetPhase.READY));
     submit("one", 1, OptionalInt.empty());
     assertThat(slots.get(0).target().id()).isEqualTo(NEAR);
   }
 
   @Test
-  void largeBodiesStayLongerThanSmallOnes() {
-    targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
+  void largeBodiesStayLocalLongerThanSmallOnes() {
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY), target(FAR, REMOTE, TargetPhase.READY));
     submit("one", 1, OptionalInt.empty(), 100_000);
     submit("two", 1, OptionalInt.empty(), 100_000);
     assertThat(slots.get(1).target().id()).isEqualTo(NEAR);
@@ -79,10 +79,10 @@
     assertThat(slots.get(2).target().id()).isEqualTo(FAR);
   }
 
-  /** Downloads: small requests whose answers are large. */
+  /** Downloads are small requests with large responses. */
   @Test
-  void largeAnswersStayLikeLargeBodies() {
-    targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
+  void largeResponsesStayLocalLikeLargeBodies() {
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY), target(FAR, REMOTE, TargetPhase.READY));
     SlotRequest first = submit("download", 1, OptionalInt.empty());
     submit("download", 1, OptionalInt.empty());
     assertThat(slots.get(1).target().id()).isEqualTo(FAR);
@@ -96,20 +96,20 @@
 
   @Test
   void theOwnerOfTheKeyGetsItAsSoonAsItHasItsLease() {
-    targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
-    owner(FAR, false);
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY), target(FAR, REMOTE, TargetPhase.READY));
+    setOwner(FAR, false);
     SlotRequest request = submit("one", 1, OptionalInt.of(7));
     assertThat(placed).isEmpty();
     assertThat(dispatcher.waitReason(request)).isEqualTo("key_on_the_move");
-    owner(FAR, true);
+    setOwner(FAR, true);
     assertThat(slots.get(0).target().id()).isEqualTo(FAR);
   }
 
   @Test
   void theMostUrgentOfThoseThatWaitIsFirst() {
-    targets(target(NEAR, HERE, TargetPhase.READY));
-    owner(NEAR, true);
-    fill();
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY));
+    setOwner(NEAR, true);
+    fillTarget();
     SlotRequest late = submit("late", 2, OptionalInt.of(7));
     submit("urgent", 0, OptionalInt.of(7));
     assertThat(dispatcher.waitReason(late)).isEqualTo("owner_busy");
@@ -120,7 +120,7 @@
 
   @Test
   void nothingGoesToTargetsThatLeaveOrWereReplaced() {
-    targets(target(NEAR, HERE, TargetPhase.DRAINING), target(FAR, THERE, TargetPhase.READY));
+    setTargets(target(NEAR, LOCAL, TargetPhase.DRAINING), target(FAR, REMOTE, TargetPhase.READY));
     submit("one", 1, OptionalInt.empty());
     assertThat(slots.get(0).target().id()).isEqualTo(FAR);
     dispatcher.onReplaced(FAR);
@@ -131,41 +131,41 @@
   }
 
   @Test
-  void whoIsWithdrawnIsNotPlacedAnyMore() {
-    targets(target(NEAR, HERE, TargetPhase.READY));
+  void withdrawnRequestsAreNotPlaced() {
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY));
     SlotRequest request = submit("one", 1, OptionalInt.of(7));
     assertThat(dispatcher.withdraw(request)).isTrue();
     assertThat(dispatcher.withdraw(request)).isFalse();
-    owner(NEAR, true);
+    setOwner(NEAR, true);
     assertThat(placed).isEmpty();
   }
 
   @Test
-  void thePartThatTheOwnerCannotBearIsTurnedAway() {
-    targets(target(NEAR, HERE, TargetPhase.READY));
+  void requestsBeyondTheCapacityOfTheOwnerAreShed() {
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY));
     KeyOwners owners = new KeyOwners(List.of(new RangeRoute(0, 65_535, NEAR, true, 40)));
     state.update(s -> s.withOwners(Map.of(SERVICE, owners), new OwnersVersion(1, 1)));
     SlotRequest keyed = request("one", 1, OptionalInt.of(7), 0);
-    int turnedAway = 0;
+    int shed = 0;
     for (int i = 0; i < 1_000; i++) {
-      turnedAway += dispatcher.shouldShed(keyed) ? 1 : 0;
+      shed += dispatcher.shouldShed(keyed) ? 1 : 0;
     }
-    assertThat(turnedAway).isIn(Range.closed(340, 460));
+    assertThat(shed).isIn(Range.closed(340, 460));
     assertThat(dispatcher.shouldShed(request("two", 1, OptionalInt.empty(), 0))).isFalse();
   }
 
   @Test
   void ownersWithLimitsGetWhatTheHolderGrants() {
-    targets(target(NEAR, HERE, TargetPhase.READY));
-    owner(NEAR, true);
-    limit(NEAR, "2");
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY));
+    setOwner(NEAR, true);
+    setLimit(NEAR, "2");
     submit("one", 1, OptionalInt.of(7));
     submit("two", 1, OptionalInt.of(7));
     assertThat(placed).isEmpty();
-    assertThat(questions).hasSize(1);
+    assertThat(quotaRequests).hasSize(1);
     quotas.onReply(new QuotaReply(NEAR, 1, new QuotaGrant(1, 400, 500)));
     assertThat(placed).containsExactly("one");
-    assertThat(questions).hasSize(1);
+    assertThat(quotaRequests).hasSize(1);
     assertThat(refused.get("two").target()).isEqualTo(NEAR);
     assertThat(refused.get("two").retryAfterMs()).isAtLeast(400);
     submit("three", 1, OptionalInt.of(7));
@@ -176,15 +176,15 @@
 
   @Test
   void requestsWithoutKeyGoElsewhereMeanwhile() {
-    targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
-    limit(NEAR, "2");
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY), target(FAR, REMOTE, TargetPhase.READY));
+    setLimit(NEAR, "2");
     submit("one", 1, OptionalInt.empty());
     assertThat(slots.get(0).target().id()).isEqualTo(FAR);
-    assertThat(questions).hasSize(1);
+    assertThat(quotaRequests).hasSize(1);
     quotas.onReply(new QuotaReply(NEAR, 1, new QuotaGrant(1, 0, 500)));
     submit("two", 1, OptionalInt.empty());
     assertThat(slots.get(1).target().id()).isEqualTo(NEAR);
-    limit(FAR, "2");
+    setLimit(FAR, "2");
     submit("three", 1, OptionalInt.empty());
     quotas.onReply(new QuotaReply(NEAR, 1, new QuotaGrant(0, 400, 500)));
     assertThat(refused).isEmpty();
@@ -193,10 +193,10 @@
   }
 
   @Test
-  void anAnswerThatDoesNotComeIsNotWaitedFor() {
-    targets(target(NEAR, HERE, TargetPhase.READY));
-    owner(NEAR, true);
-    limit(NEAR, "2");
+  void missingQuotaRepliesEndTheWait() {
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY));
+    setOwner(NEAR, true);
+    setLimit(NEAR, "2");
     submit("one", 1, OptionalInt.of(7));
     nowMs += 151;
     List.copyOf(scheduled).forEach(Runnable::run);
@@ -204,10 +204,10 @@
   }
 
   @Test
-  void requestsForAnOwnerThatRestsAreRefusedAtOnceUntilTheRestIsOver() {
-    targets(target(NEAR, HERE, TargetPhase.READY));
-    owner(NEAR, true);
-    rest(NEAR, 3_000);
+  void requestsForAnOwnerInBackoffAreRefusedAtOnce() {
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY));
+    setOwner(NEAR, true);
+    startBackoff(NEAR, 3_000);
     submit("one", 1, OptionalInt.of(7));
     assertThat(placed).isEmpty();
     assertThat(refused.get("one").cause()).isEqualTo(TargetRefusal.Cause.REST);
@@ -215,32 +215,32 @@
   }
 
   @Test
-  void requestsThatWaitForAnOwnerAreRefusedWhenItAsksForRest() {
-    targets(target(NEAR, HERE, TargetPhase.READY));
-    owner(NEAR, true);
-    fill();
+  void requestsThatWaitForAnOwnerAreRefusedWhenItAsksForBackoff() {
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY));
+    setOwner(NEAR, true);
+    fillTarget();
     submit("waits", 1, OptionalInt.of(7));
     assertThat(refused).isEmpty();
-    rest(NEAR, 3_000);
+    startBackoff(NEAR, 3_000);
     assertThat(refused).containsKey("waits");
   }
 
   @Test
-  void requestsWithoutKeyGoToTargetsThatDoNotRest() {
-    targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
-    rest(NEAR, 3_000);
+  void requestsWithoutKeyGoToTargetsWithoutBackoff() {
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY), target(FAR, REMOTE, TargetPhase.READY));
+    startBackoff(NEAR, 3_000);
     submit("one", 1, OptionalInt.empty());
     submit("two", 1, OptionalInt.empty());
     assertThat(slots.get(0).target().id()).isEqualTo(FAR);
     assertThat(slots.get(1).target().id()).isEqualTo(FAR);
   }
 
-  /** What waited meanwhile must not come all at once. */
+  /** The requests that waited for the end of the back-off must not be sent all at once. */
   @Test
-  void afterItsRestTheTargetGetsOneRequestFirst() {
-    targets(target(NEAR, HERE, TargetPhase.READY));
-    owner(NEAR, true);
-    rest(NEAR, 40);
+  void afterItsBackoffTheTargetGetsOneRequestFirst() {
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY));
+    setOwner(NEAR, true);
+    startBackoff(NEAR, 40);
     submit("one", 1, OptionalInt.of(7));
     submit("two", 1, OptionalInt.of(7));
     assertThat(placed).isEmpty();
@@ -250,22 +250,22 @@
   }
 
   @Test
-  void anotherRunOfTheTargetHasAskedForNoRest() {
-    rest(NEAR, 3_000);
+  void anotherRunOfTheTargetHasNoBackoff() {
+    startBackoff(NEAR, 3_000);
     TargetId next = new TargetId("near-2");
-    targets(target(next, HERE, TargetPhase.READY));
-    owner(next, true);
+    setTargets(target(next, LOCAL, TargetPhase.READY));
+    setOwner(next, true);
     submit("one", 1, OptionalInt.of(7));
     assertThat(placed).containsExactly("one");
   }
 
-  /** The registry goes on to say that it is ready, and says so again later. */
+  /** The registry still lists the target as ready and later reports it as ready again. */
   @Test
   void nothingGoesToTargetsThatHaveSaidThatTheyLeave() {
-    targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY), target(FAR, REMOTE, TargetPhase.READY));
     state.update(snapshot -> snapshot.withLeaving(Set.of(NEAR)));
     submit("one", 1, OptionalInt.empty());
-    targets(target(NEAR, HERE, TargetPhase.READY), target(FAR, THERE, TargetPhase.READY));
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY), target(FAR, REMOTE, TargetPhase.READY));
     submit("two", 1, OptionalInt.empty());
     assertThat(slots.get(0).target().id()).isEqualTo(FAR);
     assertThat(slots.get(1).target().id()).isEqualTo(FAR);
@@ -273,8 +273,8 @@
 
   @Test
   void keysOfTargetsThatLeaveAreRefusedAtOnceWhileTheyCannotMove() {
-    targets(target(NEAR, HERE, TargetPhase.READY));
-    owner(NEAR, true);
+    setTargets(target(NEAR, LOCAL, TargetPhase.READY));
+    setOwner(NEAR, true);
     state.update(snapshot -> snapshot.withLeaving(Set.of(NEAR)));
     submit("waits for the move", 1, OptionalInt.of(7));
     assertThat(refused).isEmpty();
@@ -289,18 +289,18 @@
     assertThat(refused).doesNotContainKey("may move again");
   }
 
-  private void rest(TargetId target, long backoffMs) {
+  private void startBackoff(TargetId target, long backoffMs) {
     backoffs.onStart(dispatcher::onBackoff);
-    backoffs.start(target(target, HERE, TargetPhase.READY), backoffMs);
+    backoffs.start(target(target, LOCAL, TargetPhase.READY), backoffMs);
   }
 
-  private void limit(TargetId target, String perS) {
-    quotas.onQuotaRequest(questions::add);
+  private void setLimit(TargetId target, String perS) {
+    quotas.onQuotaRequest(quotaRequests::add);
     nowMs++;
     quotas.onAnswer(target, OptionalDouble.of(Double.parseDouble(perS)), nowMs);
   }
 
-  private void fill() {
+  private void fillTarget() {
     int waiting = dispatcher.waitingCount();
     while (dispatcher.waitingCount() == waiting) {
       submit("filler", 1, OptionalInt.of(7));
@@ -348,11 +348,11 @@
         });
   }
 
-  private void targets(FleetTarget... targets) {
+  private void setTargets(FleetTarget... targets) {
     state.update(snapshot -> snapshot.withTargets(List.of(targets)));
   }
 
-  private void owner(TargetId id, boolean open) {
+  private void setOwner(TargetId id, boolean open) {
     KeyOwners owners = new KeyOwners(List.of(new RangeRoute(0, 65_535, id, open)));
     state.update(
         snapshot ->
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/HandoverTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/HandoverTest.java
@@ -9,14 +9,14 @@
   private final Handover handover = new Handover();
 
   @Test
-  void whatHasBegunCannotBePrevented() {
+  void begunHandoversCannotBePrevented() {
     assertThat(handover.begin()).isTrue();
     assertThat(handover.prevent()).isFalse();
     assertThat(handover.begin()).isTrue();
   }
 
   @Test
-  void whatWasPreventedNeverBegins() {
+  void preventedHandoversNeverBegin() {
     assertThat(handover.prevent()).isTrue();
     assertThat(handover.begin()).isFalse();
     assertThat(handover.prevent()).isTrue();
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/QuotaTraffic.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/QuotaTraffic.java
@@ -9,22 +9,22 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** Traffic of one gateway to targets with limits, for tests of other packages. */
+/** The traffic of one gateway to rate-limited targets, for tests of other packages. */
 public final class QuotaTraffic {
 
   private final TargetQuotas quotas;
 
-  /** Creates traffic of a gateway that knows of no limit. */
+  /** Creates the traffic of a gateway without known limits. */
   public QuotaTraffic(MillisClock clock, Timers timers, RandomGenerator random) {
     this.quotas = new TargetQuotas(clock, new DecisionLog(clock, 1, line -> {}), timers, random);
   }
 
-  /** Returns what the control thread of the gateway uses. */
+  /** Returns the quotas that the control thread of the gateway uses. */
   public TargetQuotas quotas() {
     return quotas;
   }
 
-  /** Sets who looks again at requests that wait. */
+  /** Sets the listener that serves the waiting requests of a service. */
   public void onUsable(Consumer<ServiceId> listener) {
     quotas.onUsable(listener);
   }
@@ -34,12 +34,12 @@
     return quotas.take(target, priority);
   }
 
-  /** Tells whether a request has to be refused now. */
+  /** Returns whether a request has to be refused now. */
   public boolean refuses(FleetTarget target, int priority) {
     return quotas.refusedForMs(target.id(), priority).isPresent();
   }
 
-  /** Takes an answer that names a limit, or none if it is null. */
+  /** Handles a response with the given limit; without a limit if it is null. */
   public void onAnswer(FleetTarget target, String limit, long sentMs) {
     OptionalDouble perS =
         limit == null ? OptionalDouble.empty() : OptionalDouble.of(Double.parseDouble(limit));
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/RawTarget.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/RawTarget.java
@@ -17,27 +17,27 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A target on raw sockets that notes each request as soon as its head has been read.
+ * A target on raw sockets that records each request as soon as it has been read.
  *
- * <p>What it answers depends on how the id of the request begins: see the constants.
+ * <p>Its response depends on the prefix of the request's id, see the constants.
  */
 final class RawTarget implements AutoCloseable {
 
-  /** Is not answered until {@link #answerWaiting}; then refused, as not executed. */
+  /** Requests with this prefix wait for {@link #releaseResponses}, then get a "not executed". */
   static final String REFUSED_LATE = "refused-late-";
 
   private final ServerSocket listener;
   private final List<Socket> accepted = new CopyOnWriteArrayList<>();
   private final List<Arrival> arrivals = new ArrayList<>();
-  private final AtomicInteger serving = new AtomicInteger();
-  private final CountDownLatch answersWaiting = new CountDownLatch(1);
+  private final AtomicInteger openConnections = new AtomicInteger();
+  private final CountDownLatch responsesReleased = new CountDownLatch(1);
 
   RawTarget() throws IOException {
     listener = new ServerSocket(0, 512, InetAddress.getByName("127.0.0.1"));
     thread(this::acceptAll);
   }
 
-  /** One request, as it reached the target. */
+  /** A request as it reached the target. */
   record Arrival(String id, long deadlineMs) {}
 
   String address() {
@@ -48,14 +48,14 @@
     return List.copyOf(arrivals);
   }
 
-  /** Returns how often a request with an id arrived. */
+  /** Returns the number of arrivals of a request id. */
   long arrivalsOf(String id) {
     return arrivals().stream().filter(arrival -> arrival.id().equals(id)).count();
   }
 
-  /** Answers what has waited so far, and all that comes, at once. */
-  void answerWaiting() {
-    answersWaiting.countDown();
+  /** Responds to all waiting requests now and to later ones immediately. */
+  void releaseResponses() {
+    responsesReleased.countDown();
   }
 
   private static void thread(Runnable work) {
@@ -69,7 +69,7 @@
       while (true) {
         Socket socket = listener.accept();
         accepted.add(socket);
-        serving.incrementAndGet();
+        openConnections.incrementAndGet();
         thread(() -> serve(socket));
       }
     } catch (IOException closed) {
@@ -87,25 +87,25 @@
         synchronized (this) {
           arrivals.add(new Arrival(id, deadlineMs));
         }
-        socket.getOutputStream().write(answer(id).getBytes(StandardCharsets.ISO_8859_1));
+        socket.getOutputStream().write(responseTo(id).getBytes(StandardCharsets.ISO_8859_1));
       }
     } catch (IOException closed) {
-      // The gateway closed the connection, as several tests want it to.
+      // The gateway closed the connection, which several tests expect.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      serving.decrementAndGet();
+      openConnections.decrementAndGet();
     }
   }
 
-  /** Returns how many connections have not been read to their end. */
-  int serving() {
-    return serving.get();
+  /** Returns the number of connections that have not been read to their end. */
+  int openConnections() {
+    return openConnections.get();
   }
 
-  private String answer(String id) throws InterruptedException {
+  private String responseTo(String id) throws InterruptedException {
     if (id.startsWith(REFUSED_LATE)) {
-      answersWaiting.await();
+      responsesReleased.await();
       return "HTTP/1.1 503 Busy\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
     }
     return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id + "\r\nContent-Length: 2\r\n\r\nok";
@@ -134,7 +134,7 @@
 
   @Override
   public void close() {
-    answerWaiting();
+    releaseResponses();
     try {
       listener.close();
       for (Socket socket : accepted) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/RequestQuarantineTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/RequestQuarantineTest.java
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void trialsThatNobodyHearsOfAreFollowedByOthers() {
+  void unansweredTrialsAreFollowedByOthers() {
     install(CONTENT, 0);
     assertThat(quarantine.admit(ONE)).isEqualTo(0);
     clock.advance(quarantine.admit(ONE));
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void whatIsClearedIsSentAgain() {
+  void clearedRequestsAreSentAgain() {
     install(CONTENT, 500);
     quarantine.install(Map.of(), Set.of());
     assertThat(quarantine.admit(ONE)).isEqualTo(0);
@@ -68,14 +68,14 @@
   }
 
   @Test
-  void answersOfWatchedRequestsAreTold() {
-    List<RequestFingerprint> told = new ArrayList<>();
-    quarantine.onAnswered(told::add);
+  void responsesToWatchedRequestsAreReported() {
+    List<RequestFingerprint> reported = new ArrayList<>();
+    quarantine.onAnswered(reported::add);
     quarantine.onAnswer(ONE);
-    assertThat(told).isEmpty();
+    assertThat(reported).isEmpty();
     quarantine.install(Map.of(), Set.of(CONTENT));
     quarantine.onAnswer(ONE);
-    assertThat(told).containsExactly(CONTENT);
+    assertThat(reported).containsExactly(CONTENT);
   }
 
   @Test
@@ -85,11 +85,11 @@
     assertThat(quarantine.lastAnsweredMs(ONE.contentAndCaller()).getAsLong())
         .isEqualTo(clock.nowMs());
     assertThat(quarantine.lastAnsweredMs(TWO.contentAndCaller()).isEmpty()).isTrue();
-    RequestFingerprint samePlace = new RequestFingerprint(CONTENT.value() + (1L << 40));
-    assertThat(quarantine.lastAnsweredMs(samePlace).isEmpty()).isTrue();
+    RequestFingerprint sameBucket = new RequestFingerprint(CONTENT.value() + (1L << 40));
+    assertThat(quarantine.lastAnsweredMs(sameBucket).isEmpty()).isTrue();
   }
 
-  /** Guards against bursts of copies that all reach the third target before it ends. */
+  /** Guards against bursts of copies that all reach the third target before it crashes. */
   @Test
   void watchedRequestsAreSentOneByOne() {
     List<RequestFingerprint> wanted = new ArrayList<>();
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/StallableGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/StallableGateway.java
@@ -38,13 +38,13 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * A gateway's server whose threads a test can hold up, as a slow start does, on a virtual clock.
+ * A gateway server on a virtual clock whose threads a test can block, like a slow start does.
  *
- * <p>What waits meanwhile is where it really waits: in sockets and queues.
+ * <p>Requests that wait meanwhile are in real sockets and queues.
  */
 final class StallableGateway implements AutoCloseable {
 
-  /** The longest that a caller is kept waiting; virtual time. */
+  /** The longest time that a caller waits; virtual time. */
   static final long ROUTE_TIMEOUT_MS = 120_000;
 
   private static final ServiceId SERVICE = new ServiceId("files");
@@ -60,12 +60,12 @@
   private final List<Socket> sockets = new ArrayList<>();
   private final Queue<String> lines = new ConcurrentLinkedQueue<>();
   private final AtomicInteger ids = new AtomicInteger();
-  private final AtomicInteger sendsHeld = new AtomicInteger();
-  private final AtomicInteger readings = new AtomicInteger();
-  private final CountDownLatch callersHeld = new CountDownLatch(1);
-  private final CountDownLatch callersFreed = new CountDownLatch(1);
-  private final CountDownLatch sendsFreed = new CountDownLatch(1);
-  private volatile boolean sendsAreHeld;
+  private final AtomicInteger blockedSends = new AtomicInteger();
+  private final AtomicInteger clockReads = new AtomicInteger();
+  private final CountDownLatch callersBlocked = new CountDownLatch(1);
+  private final CountDownLatch callersUnblocked = new CountDownLatch(1);
+  private final CountDownLatch sendsUnblocked = new CountDownLatch(1);
+  private volatile boolean sendsAreBlocked;
 
   StallableGateway(RawTarget target) {
     this.target = target;
@@ -111,7 +111,7 @@
         List.of());
   }
 
-  /** Makes the route known, and the target under two names, so that requests can be repeated. */
+  /** Installs a route, and the target under two names, so that requests can be retried. */
   StallableGateway configure() {
     Route route =
         new Route(
@@ -136,7 +136,7 @@
     FleetTarget other =
         new FleetTarget(
             new TargetId("files-2"), SERVICE, target.address(), HERE, 64, TargetPhase.READY, 0);
-    // What is known of targets and routes does not grow old here: only the caller matters.
+    // Targets and routes never get outdated here: the tests are about the caller.
     state.watch(this::upper, () -> 1_900, () -> true);
     state.update(
         snapshot ->
@@ -149,15 +149,15 @@
   }
 
   private long readClock() {
-    if (sendsAreHeld && isIn(TargetAttempt.class, "onConnection")) {
-      sendsHeld.incrementAndGet();
-      awaitQuietly(sendsFreed);
+    if (sendsAreBlocked && isIn(TargetAttempt.class, "onConnection")) {
+      blockedSends.incrementAndGet();
+      awaitQuietly(sendsUnblocked);
     }
     boolean reads =
         Thread.currentThread().getName().startsWith(CALLER_THREAD)
             && isIn(GatewayHandler.class, "handle");
     if (reads) {
-      readings.incrementAndGet();
+      clockReads.incrementAndGet();
     }
     return clock.nowMs();
   }
@@ -172,17 +172,17 @@
                             && frame.getMethodName().equals(method)));
   }
 
-  /** Returns how often threads that have read a head have asked for the time. */
-  int readings() {
-    return readings.get();
+  /** Returns how often threads that have read the head of a request have read the clock. */
+  int clockReads() {
+    return clockReads.get();
   }
 
-  /** The first line about a blocker is written by the thread that has read its request. */
+  /** Blocks the thread that logs a line on a blocker, which is the one that read its request. */
   private void onLine(String line) {
     lines.add(line);
     if (line.contains("id=" + BLOCKER)) {
-      callersHeld.countDown();
-      awaitQuietly(callersFreed);
+      callersBlocked.countDown();
+      awaitQuietly(callersUnblocked);
     }
   }
 
@@ -207,39 +207,39 @@
   }
 
   /**
-   * Keeps the thread busy that reads callers: what comes from now on is not read. There is one such
-   * thread, and it handles what it reads itself, since the handlers do not block.
+   * Blocks the thread that reads requests of callers, so that later requests are not read. There is
+   * only one such thread, and it also runs the handlers, since they do not block.
    */
-  void holdCallerThreads() throws IOException {
+  void blockCallerThreads() throws IOException {
     connect().send(BLOCKER, "/unknown/", 1);
-    awaitQuietly(callersHeld);
+    awaitQuietly(callersBlocked);
   }
 
-  void freeCallerThreads() {
-    callersFreed.countDown();
+  void unblockCallerThreads() {
+    callersUnblocked.countDown();
   }
 
-  /** Tells whether the gateway has written a line that begins like this. */
+  /** Returns whether the gateway has logged a line with this prefix. */
   boolean hasLogged(String start) {
     return lines.stream().anyMatch(line -> line.startsWith(start));
   }
 
-  /** Holds each request once its connection to the target is there, before its first byte. */
-  void holdSends() {
-    sendsAreHeld = true;
+  /** Blocks each request between its connection to the target and its first byte. */
+  void blockSends() {
+    sendsAreBlocked = true;
   }
 
-  /** Returns how many requests have been held so. */
-  int sendsHeld() {
-    return sendsHeld.get();
+  /** Returns the number of requests blocked before their first byte. */
+  int blockedSends() {
+    return blockedSends.get();
   }
 
-  void freeSends() {
-    sendsFreed.countDown();
+  void unblockSends() {
+    sendsUnblocked.countDown();
   }
 
-  /** Lets time pass: nothing else moves the clock. */
-  void pass(long durationMs) {
+  /** Advances the clock, which stands still otherwise. */
+  void advance(long durationMs) {
     clock.advance(durationMs);
   }
 
@@ -247,8 +247,8 @@
     return server.inFlight();
   }
 
-  /** Opens connections to the target, so that a request need not wait for one. */
-  void warm(int connections) throws IOException, InterruptedException {
+  /** Opens connections to the target, so that later requests do not wait for one. */
+  void openTargetConnections(int connections) throws IOException, InterruptedException {
     List<Call> calls = new ArrayList<>();
     for (int i = 0; i < connections; i++) {
       calls.add(connect().send("warm-" + i, "/files/", ROUTE_TIMEOUT_MS));
@@ -260,15 +260,15 @@
     await(() -> inFlight() == 0);
   }
 
-  /** Returns once all that was sent before has been decided, and read by the target; stops. */
-  void settle() throws IOException {
+  /** Waits until all earlier requests have ended, stops the server and drains the target. */
+  void drainAndStop() throws IOException {
     String marker = "marker-" + ids.incrementAndGet();
     try (Call last = connect().send(marker, "/files/", ROUTE_TIMEOUT_MS)) {
       last.status();
     }
     await(() -> inFlight() == 0);
     server.stop();
-    await(() -> target.serving() == 0);
+    await(() -> target.openConnections() == 0);
   }
 
   Call connect() throws IOException {
@@ -277,7 +277,7 @@
     return new Call(socket);
   }
 
-  /** Waits for as long as the time limit of the test allows; only the condition decides. */
+  /** Waits for a condition, without a timeout of its own; the test has a time limit. */
   static void await(BooleanSupplier condition) {
     while (!condition.getAsBoolean()) {
       Thread.onSpinWait();
@@ -287,15 +287,15 @@
 
   @Override
   public void close() throws IOException {
-    freeCallerThreads();
-    freeSends();
+    unblockCallerThreads();
+    unblockSends();
     server.stop();
     for (Socket socket : sockets) {
       socket.close();
     }
   }
 
-  /** A caller's connection. */
+  /** A connection of a caller. */
   static final class Call implements AutoCloseable {
 
     private final Socket socket;
@@ -309,7 +309,7 @@
       return write(head(id, "GET " + path, deadlineMs, ""));
     }
 
-    /** Sends the head of a request and what is given of its body. */
+    /** Sends the head of a request and a part of its body. */
     Call sendPart(String id, long deadlineMs, int length, String part) throws IOException {
       return write(
           head(id, "POST /files/", deadlineMs, "Content-Length: " + length + "\r\n") + part);
@@ -331,7 +331,7 @@
           + "\r\n";
     }
 
-    /** Reads an answer whole; returns 0 if the connection ends without one. */
+    /** Reads a complete response; returns 0 if the connection ends without one. */
     int status() throws IOException {
       String head = RawTarget.readHead(socket.getInputStream());
       if (head == null) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/StartupRequestBufferTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/StartupRequestBufferTest.java
@@ -16,34 +16,34 @@
         scheduled.add(task);
         return () -> {};
       };
-  private final StartupRequestBuffer early = new StartupRequestBuffer(timers);
+  private final StartupRequestBuffer buffer = new StartupRequestBuffer(timers);
 
   @Test
   void heldRequestsGoOnOnceTheConfigurationIsKnown() {
     assertThat(hold("a")).isTrue();
     assertThat(calls).isEmpty();
-    early.onConfiguration();
+    buffer.onConfiguration();
     runAll();
     assertThat(calls).containsExactly("go a");
   }
 
   @Test
-  void requestsAreGivenUpInTime() {
+  void heldRequestsAreRefusedAfterTheTimeout() {
     hold("a");
     runAll();
-    early.onConfiguration();
+    buffer.onConfiguration();
     runAll();
     assertThat(calls).containsExactly("give up a");
   }
 
   @Test
   void nothingIsHeldOnceTheConfigurationIsKnown() {
-    early.onConfiguration();
+    buffer.onConfiguration();
     assertThat(hold("a")).isFalse();
   }
 
   @Test
-  void onlySoManyAreHeld() {
+  void numberOfHeldRequestsIsBounded() {
     int held = 0;
     while (hold("x") && held < 10_000) {
       held++;
@@ -52,7 +52,7 @@
   }
 
   private boolean hold(String name) {
-    return early.hold(() -> calls.add("go " + name), () -> calls.add("give up " + name));
+    return buffer.hold(() -> calls.add("go " + name), () -> calls.add("give up " + name));
   }
 
   private void runAll() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetAttemptTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetAttemptTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is known of a target when the first byte goes out counts, not what was at the placement. */
+/** An attempt checks the state of its target right before the first byte, not only at placement. */
 class TargetAttemptTest {
 
   private static final long CONNECT_MS = 300;
@@ -33,7 +33,7 @@
     assertThat(waiting.begins()).isTrue();
   }
 
-  /** Guards against a request that begins though its target was seen to leave meanwhile. */
+  /** Guards against sending to a target that started draining after the placement. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatDrain() {
     TrafficFixture.Placed waiting = placed();
@@ -42,7 +42,7 @@
     assertThat(waiting.begins()).isFalse();
   }
 
-  /** Guards against a request that begins though its target has said meanwhile that it leaves. */
+  /** Guards against sending to a target that announced after the placement that it leaves. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatSaidTheyLeave() {
     TrafficFixture.Placed waiting = placed();
@@ -51,7 +51,7 @@
     assertThat(waiting.begins()).isFalse();
   }
 
-  /** Guards against a request that begins though its target is gone from the registry meanwhile. */
+  /** Guards against sending to a target that was unregistered after the placement. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatAreGone() {
     TrafficFixture.Placed waiting = placed();
@@ -60,7 +60,7 @@
     assertThat(waiting.begins()).isFalse();
   }
 
-  /** Guards against a request that begins though another target was found at the address. */
+  /** Guards against sending to a target that was replaced by another one at its address. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatWereReplaced() {
     TrafficFixture.Placed waiting = placed();
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Guards against a repeat of a request under which a target has ended: it has its slot already,
-   * and becomes suspect while it waits for its connection.
+   * Guards against a retry of a request that crashed a target: it already has its slot and becomes
+   * suspect while it waits for its connection.
    */
   @Test
   void repeatsThatBecameSuspectMeanwhileDoNotBegin() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetBackoffsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetBackoffsTest.java
@@ -20,8 +20,8 @@
 
   private long nowMs;
   private final List<Runnable> scheduled = new ArrayList<>();
-  private final List<ServiceId> over = new ArrayList<>();
-  private final List<TargetId> begun = new ArrayList<>();
+  private final List<ServiceId> endedServices = new ArrayList<>();
+  private final List<TargetId> started = new ArrayList<>();
   private final TargetBackoffs backoffs =
       new TargetBackoffs(
           () -> nowMs,
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void restsLastAtLeastAsLongAsAsked() {
+  void backoffsLastAtLeastAsLongAsAsked() {
     backoffs.start(target("a"), 3_000);
     nowMs = 2_999;
     assertThat(backoffs.remainingMs(new TargetId("a"))).isAtLeast(1);
@@ -47,28 +47,28 @@
   }
 
   @Test
-  void shorterRestsEndNoLongerOnes() {
+  void shorterBackoffsDoNotEndLongerOnes() {
     backoffs.start(target("a"), 3_000);
     backoffs.start(target("a"), 100);
     assertThat(backoffs.remainingMs(new TargetId("a"))).isIn(Range.closed(3_000L, 3_250L));
   }
 
   @Test
-  void restsBeginOnceAndAreOverByTheClockOnly() {
-    backoffs.onStart(target -> begun.add(target.id()));
-    backoffs.onEnd(over::add);
+  void backoffsStartOnceAndEndByTheClockOnly() {
+    backoffs.onStart(target -> started.add(target.id()));
+    backoffs.onEnd(endedServices::add);
     backoffs.start(target("a"), 1_000);
     backoffs.start(target("a"), 1_000);
-    assertThat(begun).containsExactly(new TargetId("a"));
+    assertThat(started).containsExactly(new TargetId("a"));
     assertThat(backoffs.takeStarted().keySet()).containsExactly(new TargetId("a"));
     assertThat(backoffs.takeStarted()).isEmpty();
     Runnable early = scheduled.remove(0);
     nowMs = 500;
     early.run();
-    assertThat(over).isEmpty();
+    assertThat(endedServices).isEmpty();
     nowMs = 1_101;
     List.copyOf(scheduled).forEach(Runnable::run);
-    assertThat(over).contains(SERVICE);
+    assertThat(endedServices).contains(SERVICE);
   }
 
   @Test
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TrafficFixture.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TrafficFixture.java
@@ -34,7 +34,7 @@
 import org.eclipse.jetty.server.ConnectionMetaData;
 import org.eclipse.jetty.server.Request;
 
-/** The traffic of a gateway up to the first byte of a request, without sockets. */
+/** The request path of a gateway up to the first byte of a request, without sockets. */
 public final class TrafficFixture {
 
   public static final ServiceId SERVICE = new ServiceId("core");
@@ -57,7 +57,7 @@
 
   private static final RequestFingerprint CONTENT = new RequestFingerprint(1);
 
-  /** By what every request here is recognised. */
+  /** The identity of every request of this fixture. */
   static final RequestIdentity IDENTITY = new RequestIdentity(CONTENT, CONTENT.by("one"));
 
   private final MillisClock clock;
@@ -105,22 +105,22 @@
             keyLoad, dispatcher, quotas, backoffs, departures, quarantine, crashDetector);
   }
 
-  /** Returns what the link to the fleet needs. */
+  /** Returns the reports for the link to the fleet. */
   public TrafficReports reports() {
     return reports;
   }
 
-  /** Targets have ended under requests like those here: each answer of one matters. */
+  /** Marks the requests of this fixture as suspected of crashing targets. */
   void suspectRequests() {
     quarantine.install(Map.of(), Set.of(CONTENT));
   }
 
-  /** Another target was found at the address of this one. */
+  /** Marks a target as replaced by another one at its address. */
   public void onReplaced(TargetId target) {
     dispatcher.onReplaced(target);
   }
 
-  /** An answer of a target says that it leaves; on a thread of the traffic. */
+  /** Receives a response, on the calling thread, by which a target announces that it leaves. */
   public void receiveLeavingSignal(TargetId target) {
     TargetSignals signals =
         new TargetSignals(
@@ -137,7 +137,7 @@
     }
   }
 
-  /** Places a request without a key now; empty if nothing takes it. */
+  /** Submits a request without a key; empty if it gets no slot at once. */
   public Optional<Placed> place() {
     Placed placed = new Placed();
     dispatcher.submit(placed.slotRequest);
@@ -145,7 +145,7 @@
     return Optional.ofNullable(placed.slot).map(slot -> placed);
   }
 
-  /** Tells whether a request that comes now begins at a target, on a connection that is there. */
+  /** Returns whether a new request would be sent to a target over an open connection. */
   public boolean sendsTo(TargetId target) {
     Optional<Placed> placed = place();
     boolean sent =
@@ -154,7 +154,7 @@
     return sent;
   }
 
-  /** A request that has a slot at a target and waits for its connection. */
+  /** A request with a slot at a target that waits for its connection. */
   public final class Placed implements SlotRequest.Listener {
 
     private final SlotRequest slotRequest;
@@ -172,22 +172,22 @@
     @Override
     public void onRefused(TargetRefusal refusal) {}
 
-    /** Returns where it has its slot. */
+    /** Returns the target of its slot. */
     public FleetTarget target() {
       return slot.target();
     }
 
-    /** Gives its slot back. */
+    /** Releases its slot. */
     public void release() {
       dispatcher.release(slot, slotRequest, AttemptOutcome.GIVEN_UP, 0);
     }
 
-    /** Its connection is there: tells whether its first byte goes out. */
+    /** Opens its connection and returns whether its first byte is sent. */
     public boolean begins() {
       return beginsAfter(0);
     }
 
-    /** The same, for a request that may have run at so many targets before. */
+    /** Like {@link #begins}, for a request that may have run on some targets before. */
     boolean beginsAfter(int runs) {
       CallerRequest call =
           new CallerRequest(
@@ -211,11 +211,11 @@
   }
 
   private static Request request() {
-    EndPoint endPoint = standIn(EndPoint.class, Map.of("isOpen", true));
-    Connection connection = standIn(Connection.class, Map.of("getEndPoint", endPoint));
+    EndPoint endPoint = stub(EndPoint.class, Map.of("isOpen", true));
+    Connection connection = stub(Connection.class, Map.of("getEndPoint", endPoint));
     ConnectionMetaData metaData =
-        standIn(ConnectionMetaData.class, Map.of("getConnection", connection));
-    return standIn(
+        stub(ConnectionMetaData.class, Map.of("getConnection", connection));
+    return stub(
         Request.class,
         Map.of(
             "getMethod",
@@ -228,11 +228,11 @@
             metaData));
   }
 
-  private static <T> T standIn(Class<T> type, Map<String, Object> answers) {
+  private static <T> T stub(Class<T> type, Map<String, Object> returnValues) {
     return type.cast(
         Proxy.newProxyInstance(
             TrafficFixture.class.getClassLoader(),
             new Class<?>[] {type},
-            (proxy, method, arguments) -> answers.get(method.getName())));
+            (proxy, method, arguments) -> returnValues.get(method.getName())));
   }
 }
