--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayHandler.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayHandler.java
@@ -222,7 +222,7 @@
     try {
       int key = Integer.parseInt(text.trim());
       return key >= 0 && key < KEY_LIMIT ? OptionalInt.of(key) : OptionalInt.empty();
-    } catch (NumberFormatException notANumber) {
+    } catch (NumberFormatException invalidNumber) {
       return OptionalInt.empty();
     }
   }
@@ -239,7 +239,7 @@
     }
     try {
       return Math.max(1, Long.parseLong(text.trim()));
-    } catch (NumberFormatException notANumber) {
+    } catch (NumberFormatException invalidNumber) {
       return route.timeoutMs();
     }
   }
