--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetSignals.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/fleet/TargetSignals.java
@@ -15,8 +15,8 @@
  * @param limitPerS the requests per second that it accepts from all gateways together; empty if it
  *     declares no limit
  * @param leaving whether it is about to terminate
- * @param restMs how long this gateway should send it no requests; milliseconds, above 0; empty if
- *     not requested
+ * @param backoffMs how long this gateway should send it no requests; milliseconds, above 0; empty
+ *     if not requested
  * @param unreadable the signals whose header fields could not be parsed; not null
  * @param unknownFields the names of header fields that are not recognised; not null
  * @since 0.2
@@ -27,7 +27,7 @@
     Optional<String> answeringTarget,
     OptionalDouble limitPerS,
     boolean leaving,
-    OptionalLong restMs,
+    OptionalLong backoffMs,
     Set<Kind> unreadable,
     List<String> unknownFields) {
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
@@ -119,7 +119,7 @@
     metricsPage.addGauge(
         "cuminvalve_keys_without_lease",
         "Keys of all services whose owner has no lease now.",
-        () -> state.current().closedKeys());
+        () -> state.current().keysWithoutLease());
     metricsPage.addGauge(
         "cuminvalve_gateways", "Gateways that run.", () -> state.current().processes());
     metricsPage.addGauge(
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -16,9 +16,9 @@
 import io.cuminvalve.core.protocol.RoutesChange;
 import io.cuminvalve.core.protocol.RoutesPush;
 import io.cuminvalve.core.protocol.ServiceRanges;
+import io.cuminvalve.core.protocol.TargetBackoff;
+import io.cuminvalve.core.protocol.TargetBackoffsReport;
 import io.cuminvalve.core.protocol.TargetReplaced;
-import io.cuminvalve.core.protocol.TargetRest;
-import io.cuminvalve.core.protocol.TargetRestsReport;
 import io.cuminvalve.core.protocol.TargetTimesReport;
 import io.cuminvalve.core.protocol.TargetsChange;
 import io.cuminvalve.core.protocol.TargetsPush;
@@ -253,7 +253,7 @@
     } else if (message instanceof KeyLoadReport
         || message instanceof TargetTimesReport
         || message instanceof TargetReplaced
-        || message instanceof TargetRestsReport) {
+        || message instanceof TargetBackoffsReport) {
       duties.ifPresent(d -> d.onReport(message));
     } else if (message instanceof FleetBeat beat) {
       onBeat(sender, beat);
@@ -282,7 +282,7 @@
       crashes.onHolderAndDeputies(Optional.empty(), subscribers.deputies());
       quotas.onHolderAndDeputies(Optional.empty(), subscribers.deputies(), subscribers.count() + 1);
       departures.onHolderAndDeputies(Optional.empty(), subscribers.deputies());
-      state.noteMoves(duties.get().termAgeMs() <= FRESH_MS, clock.nowMs());
+      state.setMovesPossible(duties.get().termAgeMs() <= FRESH_MS, clock.nowMs());
       subscribers.dropSilent(clock.nowMs(), pace.helloMs());
       updateProcesses();
       return;
@@ -368,21 +368,21 @@
   }
 
   private void reportKeyWork() {
-    reports.takeKeyWork().forEach(this::report);
+    reports.takeKeyLoad().forEach(this::report);
     reports.takeReplacedTargets().forEach(this::report);
-    reportRests(reports.takeBegunRestsMs());
+    reportBackoffs(reports.takeStartedBackoffsMs());
   }
 
   private void reportTargetTimes() {
     report(reports.takeTargetTimes());
-    reportRests(reports.restsMs());
+    reportBackoffs(reports.backoffsMs());
   }
 
-  private void reportRests(Map<TargetId, Long> leftMs) {
+  private void reportBackoffs(Map<TargetId, Long> leftMs) {
     if (!leftMs.isEmpty()) {
-      List<TargetRest> rests = new ArrayList<>();
-      leftMs.forEach((target, restMs) -> rests.add(new TargetRest(target, restMs)));
-      report(new TargetRestsReport(settings.process(), rests));
+      List<TargetBackoff> rests = new ArrayList<>();
+      leftMs.forEach((target, backoffMs) -> rests.add(new TargetBackoff(target, backoffMs)));
+      report(new TargetBackoffsReport(settings.process(), rests));
     }
   }
 
@@ -431,7 +431,7 @@
     crashes.onHolderAndDeputies(holderAddress, deputies.others());
     quotas.onHolderAndDeputies(holderAddress, deputies.others(), Math.max(1, beat.processes()));
     departures.onHolderAndDeputies(holderAddress, deputies.others());
-    state.noteMoves(beat.termAgeMs() <= FRESH_MS, clock.nowMs());
+    state.setMovesPossible(beat.termAgeMs() <= FRESH_MS, clock.nowMs());
     if (Math.max(beat.termAgeMs(), beat.configurationAgeMs()) <= FRESH_MS) {
       freshBeat = clock.upper();
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
@@ -42,7 +42,7 @@
 
   void start() {
     quotas.onLimit(targets -> control.execute(() -> coordinator.onSeen(targets)));
-    quotas.onAsk(request -> control.execute(() -> coordinator.ask(request)));
+    quotas.onQuotaRequest(request -> control.execute(() -> coordinator.ask(request)));
   }
 
   /** Called when this gateway has acquired the term. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RepeatBudgets.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RetryBudgets.java
@@ -7,17 +7,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The budgets for repeats, one for each service. Safe for use by several threads. */
-final class RepeatBudgets {
+/** The retry budgets, one per service. Thread-safe. */
+final class RetryBudgets {
 
-  /** Part of the budget that is used: gateways may be fewer or more than is known. */
+  /** Share of the budget in use, since the known number of gateways may be wrong. */
   private static final double USED_SHARE = 0.6;
 
   private final GatewaySettings settings;
   private final MillisClock clock;
   private final Map<ServiceId, SharedRetryBudget> budgets = new HashMap<>();
 
-  RepeatBudgets(GatewaySettings settings, MillisClock clock) {
+  RetryBudgets(GatewaySettings settings, MillisClock clock) {
     this.settings = settings;
     this.clock = clock;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SignalReader.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/SignalReader.java
@@ -9,15 +9,15 @@
 import io.cuminvalve.router.target.TargetAnswer;
 
 /**
- * Reads what targets say in the heads of their answers, and hands it on to those whom it concerns.
+ * Reads the signals in the response headers of targets and dispatches them to their handlers.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class SignalReader {
 
   private final AnswerDecoder decoder;
   private final TargetQuotas quotas;
-  private final TargetRests rests;
+  private final TargetBackoffs backoffs;
   private final TargetDepartures departures;
   private final UnknownFields unknownFields;
   private final DecisionLog log;
@@ -25,32 +25,32 @@
   SignalReader(
       AnswerDecoder decoder,
       TargetQuotas quotas,
-      TargetRests rests,
+      TargetBackoffs backoffs,
       TargetDepartures departures,
       UnknownFields unknownFields,
       DecisionLog log) {
     this.decoder = decoder;
     this.quotas = quotas;
-    this.rests = rests;
+    this.backoffs = backoffs;
     this.departures = departures;
     this.unknownFields = unknownFields;
     this.log = log;
   }
 
-  /** Reads the head of an answer; nothing is done about it yet. */
-  TargetSignals read(TargetAnswer answer) {
-    return decoder.decode(answer.status(), answer.headers());
+  /** Decodes the signals in the headers of a response without acting on them. */
+  TargetSignals read(TargetAnswer response) {
+    return decoder.decode(response.status(), response.headers());
   }
 
   /**
-   * Takes what a target says.
+   * Applies the signals of a target.
    *
-   * @param answering the run that answered; not null
-   * @param signals what it says; not null
-   * @param sentMs when its request was sent; a time of the clock; milliseconds
+   * @param responding the run of the target that responded; not null
+   * @param signals its signals; not null
+   * @param sentMs when the request was sent; a time of the clock in milliseconds
    */
-  void onAnswer(FleetTarget answering, TargetSignals signals, long sentMs) {
-    TargetId target = answering.id();
+  void onAnswer(FleetTarget responding, TargetSignals signals, long sentMs) {
+    TargetId target = responding.id();
     unknownFields.onAnswer(signals.unknownFields(), target);
     for (TargetSignals.Kind kind : signals.unreadable()) {
       log.write("target_signal_unreadable", "target={} signal={}", target, kind);
@@ -61,6 +61,6 @@
     if (signals.leaving()) {
       departures.onLeaving(target);
     }
-    signals.restMs().ifPresent(restMs -> rests.ask(answering, restMs));
+    signals.backoffMs().ifPresent(backoffMs -> backoffs.start(responding, backoffMs));
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
@@ -9,39 +9,39 @@
 import java.util.function.Consumer;
 
 /**
- * What traffic measured, for the holder of the term.
+ * Collects the measurements of the traffic for the holder of the term.
  *
  * @since 0.2
  */
 public final class TrafficReports {
 
-  private final KeyWorkMeter keyWork;
+  private final KeyLoadMeter keyLoad;
   private final Dispatcher dispatcher;
   private final TargetQuotas quotas;
-  private final TargetRests rests;
+  private final TargetBackoffs backoffs;
   private final TargetDepartures departures;
   private final RequestQuarantine quarantine;
-  private final CrashWitness witness;
+  private final CrashDetector crashDetector;
 
   TrafficReports(
-      KeyWorkMeter keyWork,
+      KeyLoadMeter keyLoad,
       Dispatcher dispatcher,
       TargetQuotas quotas,
-      TargetRests rests,
+      TargetBackoffs backoffs,
       TargetDepartures departures,
       RequestQuarantine quarantine,
-      CrashWitness witness) {
-    this.keyWork = keyWork;
+      CrashDetector crashDetector) {
+    this.keyLoad = keyLoad;
     this.dispatcher = dispatcher;
     this.quotas = quotas;
-    this.rests = rests;
+    this.backoffs = backoffs;
     this.departures = departures;
     this.quarantine = quarantine;
-    this.witness = witness;
+    this.crashDetector = crashDetector;
   }
 
   /**
-   * Returns which requests are sent to no target.
+   * Returns the quarantine of requests that crash targets.
    *
    * @return never null
    */
@@ -50,7 +50,7 @@
   }
 
   /**
-   * Returns the limits that targets name.
+   * Returns the rate limits of targets.
    *
    * @return never null
    */
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Returns who notices that targets leave.
+   * Returns the tracker of leaving targets.
    *
    * @return never null
    */
@@ -68,43 +68,43 @@
   }
 
   /**
-   * Sets who is told of requests under which a target ended, at once.
+   * Sets the listener for requests during which a target ended, called without delay.
    *
    * @param listener called on any thread; must not block; not null
    */
   public void onCrash(Consumer<List<BrokenAttempt>> listener) {
-    witness.onCrash(listener);
+    crashDetector.onCrash(listener);
   }
 
   /**
-   * Takes the work of keys since the last call.
+   * Returns the load of keys since the last call.
    *
    * @return never null
    */
-  public List<FleetMessage> takeKeyWork() {
-    return new ArrayList<>(keyWork.take());
+  public List<FleetMessage> takeKeyLoad() {
+    return new ArrayList<>(keyLoad.take());
   }
 
   /**
-   * Takes the rests that have begun since the last call.
+   * Returns the back-offs started since the last call.
    *
-   * @return what is left of them; milliseconds by target; never null
+   * @return the remaining milliseconds by target; never null
    */
-  public Map<TargetId, Long> takeBegunRestsMs() {
-    return rests.takeBegun();
+  public Map<TargetId, Long> takeStartedBackoffsMs() {
+    return backoffs.takeStarted();
   }
 
   /**
-   * Returns for how long this gateway still leaves targets alone that have asked for rest.
+   * Returns the remaining time of all current back-offs.
    *
-   * @return milliseconds by target; never null
+   * @return the remaining milliseconds by target; never null
    */
-  public Map<TargetId, Long> restsMs() {
-    return rests.all();
+  public Map<TargetId, Long> backoffsMs() {
+    return backoffs.remainingMsByTarget();
   }
 
   /**
-   * Takes the times of targets since the last call.
+   * Returns the relative response times of targets since the last call.
    *
    * @return never null
    */
@@ -113,7 +113,7 @@
   }
 
   /**
-   * Takes the targets that were found replaced by others since the last call.
+   * Returns the targets found replaced since the last call.
    *
    * @return never null
    */
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
@@ -184,7 +184,7 @@
       this.coordinator =
           new QuotaCoordinator("gateway-" + index, traffic.quotas(), this, () -> nowMs);
       traffic.quotas().onLimit(coordinator::onSeen);
-      traffic.quotas().onAsk(coordinator::ask);
+      traffic.quotas().onQuotaRequest(coordinator::ask);
       traffic.onUsable(service -> sendWaiting());
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CrashWitnessTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/CrashDetectorTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A connection that breaks is no crash by itself. */
-class CrashWitnessTest {
+/** A broken connection alone does not count as a crash. */
+class CrashDetectorTest {
 
   private static final TargetId TARGET_ID = new TargetId("core-1");
   private static final FleetTarget TARGET =
@@ -35,83 +35,84 @@
   private final VirtualClock clock = new VirtualClock(1_000);
   private final RoutingState state = new RoutingState(10);
   private final List<String> crashed = new ArrayList<>();
-  private TargetProbe.Finding finding = TargetProbe.Finding.SILENT;
+  private TargetProbe.Finding probeResult = TargetProbe.Finding.SILENT;
   private int probes;
-  private CrashWitness witness;
+  private CrashDetector crashDetector;
 
   @BeforeEach
   void setUp() {
     state.update(snapshot -> snapshot.withTargets(List.of(TARGET)));
-    witness =
-        new CrashWitness(
+    crashDetector =
+        new CrashDetector(
             state,
             (address, onDone) -> {
               probes++;
-              onDone.accept(finding);
+              onDone.accept(probeResult);
             },
             (task, delayMs) -> {
               clock.schedule(delayMs, task);
               return () -> {};
             },
             clock);
-    witness.onCrash(attempts -> attempts.forEach(attempt -> crashed.add(attempt.attemptId())));
+    crashDetector.onCrash(
+        attempts -> attempts.forEach(attempt -> crashed.add(attempt.attemptId())));
   }
 
   @Test
   void targetsThatRefuseConnectionsHaveEnded() {
-    breaksOff("one");
-    breaksOff("two");
+    breakConnection("one");
+    breakConnection("two");
     assertThat(crashed).isEmpty();
-    witness.onEnded(TARGET_ID);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).containsExactly("one", "two");
     clock.advance(1_000);
     assertThat(probes).isEqualTo(0);
   }
 
   @Test
-  void targetsThatNobodyElseAsksAreProbedOnce() {
-    finding = TargetProbe.Finding.REFUSED;
-    breaksOff("one");
-    breaksOff("two");
+  void targetsWithoutOtherRequestsAreProbedOnce() {
+    probeResult = TargetProbe.Finding.REFUSED;
+    breakConnection("one");
+    breakConnection("two");
     clock.advance(1_000);
     assertThat(crashed).containsExactly("one", "two");
     assertThat(probes).isEqualTo(1);
   }
 
   @Test
-  void targetsThatListenLive() {
-    finding = TargetProbe.Finding.LISTENING;
-    breaksOff("one");
+  void listeningTargetsAreAlive() {
+    probeResult = TargetProbe.Finding.LISTENING;
+    breakConnection("one");
     clock.advance(1_000);
-    witness.onEnded(TARGET_ID);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).isEmpty();
   }
 
   @Test
-  void answersToLaterRequestsShowThatTheTargetLivesAndSpareTheProbe() {
-    breaksOff("one");
+  void responsesToLaterRequestsProveTheTargetAliveWithoutProbe() {
+    breakConnection("one");
     clock.advance(10);
-    witness.onAlive(TARGET_ID, clock.nowMs());
+    crashDetector.onAlive(TARGET_ID, clock.nowMs());
     clock.advance(1_000);
-    witness.onEnded(TARGET_ID);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).isEmpty();
     assertThat(probes).isEqualTo(0);
   }
 
   @Test
-  void answersToEarlierRequestsShowNothing() {
+  void responsesToEarlierRequestsProveNothing() {
     clock.advance(100);
     final long beforeMs = clock.nowMs();
     clock.advance(100);
-    breaksOff("one");
-    witness.onAlive(TARGET_ID, beforeMs);
-    witness.onEnded(TARGET_ID);
+    breakConnection("one");
+    crashDetector.onAlive(TARGET_ID, beforeMs);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed).containsExactly("one");
   }
 
   @Test
-  void silentTargetsHaveEndedOnceTheRegistryHasThemNoLonger() {
-    breaksOff("one");
+  void silentTargetsHaveEndedOnceTheyAreUnregistered() {
+    breakConnection("one");
     clock.advance(4_000);
     assertThat(crashed).isEmpty();
     state.update(snapshot -> snapshot.withTargets(List.of()));
@@ -119,8 +120,8 @@
   }
 
   @Test
-  void whatBrokeLongBeforeTheEndHadNoPartInIt() {
-    breaksOff("one");
+  void attemptsThatBrokeLongBeforeTheEndAreIgnored() {
+    breakConnection("one");
     clock.advance(60_000);
     state.update(snapshot -> snapshot.withTargets(List.of()));
     assertThat(crashed).isEmpty();
@@ -129,15 +130,15 @@
   @Test
   void memoryIsBounded() {
     for (int i = 0; i < 10_000; i++) {
-      breaksOff("attempt-" + i);
+      breakConnection("attempt-" + i);
     }
-    witness.onEnded(TARGET_ID);
+    crashDetector.onEnded(TARGET_ID);
     assertThat(crashed.size()).isLessThan(1_000);
     assertThat(crashed).isNotEmpty();
   }
 
-  private void breaksOff(String attemptId) {
+  private void breakConnection(String attemptId) {
     long nowMs = clock.nowMs();
-    witness.onBroken(new BrokenAttempt(attemptId, IDENTITY, TARGET_ID, nowMs, nowMs), TARGET);
+    crashDetector.onBroken(new BrokenAttempt(attemptId, IDENTITY, TARGET_ID, nowMs, nowMs), TARGET);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetAttemptTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetAttemptTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is known of a target when the first byte goes out counts, not what was at the placement. */
+/** An attempt checks the state of its target right before the first byte, not only at placement. */
 class TargetAttemptTest {
 
   private static final long CONNECT_MS = 300;
@@ -18,9 +18,9 @@
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final RoutingState state = new RoutingState(1);
-  private final SendingGateway gateway = new SendingGateway(state, clock);
+  private final TrafficFixture gateway = new TrafficFixture(state, clock);
 
-  private SendingGateway.Placed placed() {
+  private TrafficFixture.Placed placed() {
     state.update(snapshot -> snapshot.withTargets(List.of(target(TargetPhase.READY))));
     state.confirmTargets(clock.upper());
     return gateway.place().orElseThrow();
@@ -28,54 +28,54 @@
 
   @Test
   void requestsBeginAtTargetsThatAreReady() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isTrue();
   }
 
-  /** Guards against a request that begins though its target was seen to leave meanwhile. */
+  /** Guards against sending to a target that started draining after the placement. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatDrain() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     state.update(snapshot -> snapshot.withTargets(List.of(target(TargetPhase.DRAINING))));
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isFalse();
   }
 
-  /** Guards against a request that begins though its target has said meanwhile that it leaves. */
+  /** Guards against sending to a target that announced after the placement that it leaves. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatSaidTheyLeave() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     state.update(snapshot -> snapshot.withLeaving(Set.of(A)));
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isFalse();
   }
 
-  /** Guards against a request that begins though its target is gone from the registry meanwhile. */
+  /** Guards against sending to a target that was unregistered after the placement. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatAreGone() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     state.update(snapshot -> snapshot.withTargets(List.of()));
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isFalse();
   }
 
-  /** Guards against a request that begins though another target was found at the address. */
+  /** Guards against sending to a target that was replaced by another one at its address. */
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatWereReplaced() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     gateway.onReplaced(A);
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isFalse();
   }
 
   /**
-   * Guards against a repeat of a request under which a target has ended: it has its slot already,
-   * and becomes suspect while it waits for its connection.
+   * Guards against a retry of a request that crashed a target: it already has its slot and becomes
+   * suspect while it waits for its connection.
    */
   @Test
   void repeatsThatBecameSuspectMeanwhileDoNotBegin() {
-    SendingGateway.Placed waiting = placed();
+    TrafficFixture.Placed waiting = placed();
     gateway.suspectRequests();
     clock.advance(CONNECT_MS);
     assertThat(waiting.beginsAfter(1)).isFalse();
@@ -84,6 +84,6 @@
 
   private static FleetTarget target(TargetPhase phase) {
     return new FleetTarget(
-        A, SendingGateway.SERVICE, "127.0.0.1:9", SendingGateway.HERE, 4, phase, 0);
+        A, TrafficFixture.SERVICE, "127.0.0.1:9", TrafficFixture.HERE, 4, phase, 0);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/SendingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TrafficFixture.java
@@ -34,8 +34,8 @@
 import org.eclipse.jetty.server.ConnectionMetaData;
 import org.eclipse.jetty.server.Request;
 
-/** The traffic of a gateway up to the first byte of a request, without sockets. */
-public final class SendingGateway {
+/** The request path of a gateway up to the first byte of a request, without sockets. */
+public final class TrafficFixture {
 
   public static final ServiceId SERVICE = new ServiceId("core");
   public static final DataCentreId HERE = new DataCentreId("here");
@@ -57,7 +57,7 @@
 
   private static final RequestFingerprint CONTENT = new RequestFingerprint(1);
 
-  /** By what every request here is recognised. */
+  /** The identity of every request of this fixture. */
   static final RequestIdentity IDENTITY = new RequestIdentity(CONTENT, CONTENT.by("one"));
 
   private final MillisClock clock;
@@ -67,19 +67,19 @@
   private final TrafficReports reports;
 
   /** Creates the traffic of a gateway; its timers never run. */
-  public SendingGateway(RoutingState state, MillisClock clock) {
+  public TrafficFixture(RoutingState state, MillisClock clock) {
     this.clock = clock;
     state.update(snapshot -> snapshot.withConfiguration(CONFIGURATION));
     state.watch(clock::upper, () -> 1_900, () -> false);
     DecisionLog log = new DecisionLog(clock, 1, line -> {});
     Timers timers = (task, delayMs) -> () -> {};
     TargetQuotas quotas = new TargetQuotas(clock, log, timers, new SplittableRandom(1));
-    TargetRests rests = new TargetRests(clock, timers, new SplittableRandom(2), log);
+    TargetBackoffs backoffs = new TargetBackoffs(clock, timers, new SplittableRandom(2), log);
     TargetDepartures departures = new TargetDepartures(state);
-    KeyWorkMeter keyWork = new KeyWorkMeter();
+    KeyLoadMeter keyLoad = new KeyLoadMeter();
     this.quarantine = new RequestQuarantine(clock);
-    CrashWitness witness = new CrashWitness(state, null, timers, clock);
-    this.dispatcher = new Dispatcher(state, HERE, clock, new SplittableRandom(3), quotas, rests);
+    CrashDetector crashDetector = new CrashDetector(state, null, timers, clock);
+    this.dispatcher = new Dispatcher(state, HERE, clock, new SplittableRandom(3), quotas, backoffs);
     this.services =
         new ExchangeServices(
             state,
@@ -87,13 +87,13 @@
             new SendGate(clock),
             departures,
             quotas,
-            new SignalReader(null, quotas, rests, departures, null, log),
-            rests,
+            new SignalReader(null, quotas, backoffs, departures, null, log),
+            backoffs,
             new TargetClient(TargetClientLimits.DEFAULT, address -> 1),
             null,
             quarantine,
-            witness,
-            keyWork,
+            crashDetector,
+            keyLoad,
             timers,
             clock,
             new RequestHeaders("attempt", "deadline", "target", "key"),
@@ -101,26 +101,27 @@
             new RequestMetrics(),
             () -> false);
     this.reports =
-        new TrafficReports(keyWork, dispatcher, quotas, rests, departures, quarantine, witness);
+        new TrafficReports(
+            keyLoad, dispatcher, quotas, backoffs, departures, quarantine, crashDetector);
   }
 
-  /** Returns what the link to the fleet needs. */
+  /** Returns the reports for the link to the fleet. */
   public TrafficReports reports() {
     return reports;
   }
 
-  /** Targets have ended under requests like those here: each answer of one matters. */
+  /** Marks the requests of this fixture as suspected of crashing targets. */
   void suspectRequests() {
     quarantine.install(Map.of(), Set.of(CONTENT));
   }
 
-  /** Another target was found at the address of this one. */
+  /** Marks a target as replaced by another one at its address. */
   public void onReplaced(TargetId target) {
     dispatcher.onReplaced(target);
   }
 
-  /** An answer of a target says that it leaves; on a thread of the traffic. */
-  public void hearLeaving(TargetId target) {
+  /** Receives a response, on the calling thread, by which a target announces that it leaves. */
+  public void receiveLeavingSignal(TargetId target) {
     TargetSignals signals =
         new TargetSignals(
             Optional.empty(),
@@ -136,31 +137,31 @@
     }
   }
 
-  /** Places a request without a key now; empty if nothing takes it. */
+  /** Submits a request without a key; empty if it gets no slot at once. */
   public Optional<Placed> place() {
     Placed placed = new Placed();
-    dispatcher.submit(placed.wish);
-    dispatcher.withdraw(placed.wish);
+    dispatcher.submit(placed.slotRequest);
+    dispatcher.withdraw(placed.slotRequest);
     return Optional.ofNullable(placed.slot).map(slot -> placed);
   }
 
-  /** Tells whether a request that comes now begins at a target, on a connection that is there. */
+  /** Returns whether a new request would be sent to a target over an open connection. */
   public boolean sendsTo(TargetId target) {
     Optional<Placed> placed = place();
     boolean sent =
         placed.filter(p -> p.target().id().equals(target)).filter(Placed::begins).isPresent();
-    placed.ifPresent(Placed::giveBack);
+    placed.ifPresent(Placed::release);
     return sent;
   }
 
-  /** A request that has a slot at a target and waits for its connection. */
-  public final class Placed implements PlacementWish.Listener {
+  /** A request with a slot at a target that waits for its connection. */
+  public final class Placed implements SlotRequest.Listener {
 
-    private final PlacementWish wish;
+    private final SlotRequest slotRequest;
     private Slot slot;
 
     Placed() {
-      wish = new PlacementWish(ROUTE, SERVICE, OptionalInt.empty(), 0, this);
+      slotRequest = new SlotRequest(ROUTE, SERVICE, OptionalInt.empty(), 0, this);
     }
 
     @Override
@@ -171,22 +172,22 @@
     @Override
     public void onRefused(TargetRefusal refusal) {}
 
-    /** Returns where it has its slot. */
+    /** Returns the target of its slot. */
     public FleetTarget target() {
       return slot.target();
     }
 
-    /** Gives its slot back. */
-    public void giveBack() {
-      dispatcher.giveBack(slot, wish, AttemptEnd.GIVEN_UP, 0);
+    /** Releases its slot. */
+    public void release() {
+      dispatcher.release(slot, slotRequest, AttemptOutcome.GIVEN_UP, 0);
     }
 
-    /** Its connection is there: tells whether its first byte goes out. */
+    /** Opens its connection and returns whether its first byte is sent. */
     public boolean begins() {
       return beginsAfter(0);
     }
 
-    /** The same, for a request that may have run at so many targets before. */
+    /** Like {@link #begins}, for a request that may have run on some targets before. */
     boolean beginsAfter(int runs) {
       CallerRequest call =
           new CallerRequest(
@@ -194,7 +195,7 @@
               null,
               null,
               "one",
-              wish.route(),
+              slotRequest.route(),
               SERVICE,
               OptionalInt.empty(),
               IDENTITY,
@@ -204,17 +205,17 @@
               DEADLINE_MS,
               clock.upper().plusMs(DEADLINE_MS),
               CONFIGURATION.version());
-      return new TargetAttempt(services, call, wish, slot, runs, null)
+      return new TargetAttempt(services, call, slotRequest, slot, runs, null)
           .onConnection(HttpFields.build());
     }
   }
 
   private static Request request() {
-    EndPoint endPoint = standIn(EndPoint.class, Map.of("isOpen", true));
-    Connection connection = standIn(Connection.class, Map.of("getEndPoint", endPoint));
+    EndPoint endPoint = stub(EndPoint.class, Map.of("isOpen", true));
+    Connection connection = stub(Connection.class, Map.of("getEndPoint", endPoint));
     ConnectionMetaData metaData =
-        standIn(ConnectionMetaData.class, Map.of("getConnection", connection));
-    return standIn(
+        stub(ConnectionMetaData.class, Map.of("getConnection", connection));
+    return stub(
         Request.class,
         Map.of(
             "getMethod",
@@ -227,11 +228,11 @@
             metaData));
   }
 
-  private static <T> T standIn(Class<T> type, Map<String, Object> answers) {
+  private static <T> T stub(Class<T> type, Map<String, Object> returnValues) {
     return type.cast(
         Proxy.newProxyInstance(
-            SendingGateway.class.getClassLoader(),
+            TrafficFixture.class.getClassLoader(),
             new Class<?>[] {type},
-            (proxy, method, arguments) -> answers.get(method.getName())));
+            (proxy, method, arguments) -> returnValues.get(method.getName())));
   }
 }
