--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ConfigurationWatch.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ConfigurationWatch.java
@@ -68,7 +68,7 @@
       ControlThread control,
       MillisClock clock,
       DecisionLog log,
-      Reliance reliance,
+      PeerReliance reliance,
       Consumer<StoreValue> onInForce) {
     this.ports = ports;
     this.state = state;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashDesk.java
@@ -35,7 +35,7 @@
 final class CrashDesk implements NewsExchange.Knowledge<CrashNews> {
 
   /** Whom a gateway tells. */
-  interface Audience extends FleetAudience {
+  interface Audience extends FleetMessenger {
 
     /** Tells whether this process holds the term. */
     boolean isHolder();
@@ -213,7 +213,7 @@
       Set<RequestFingerprint> spread = new LinkedHashSet<>(own);
       spread.addAll(heard);
       spread.removeIf(changed -> !before.contains(changed) && !watched.contains(changed));
-      tellAll(spread);
+      sendToFollowers(spread);
       keepQuarantined();
     }
   }
@@ -238,9 +238,9 @@
     }
   }
 
-  private void tellAll(Set<RequestFingerprint> changed) {
+  private void sendToFollowers(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      audience.tellAll(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
+      audience.sendToFollowers(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
@@ -21,7 +21,7 @@
  * Connects the {@link CrashDesk} of this gateway with its traffic, the other gateways and the
  * store. For the control thread.
  */
-final class CrashLink extends PeerAudience implements CrashDesk.Audience {
+final class CrashLink extends PeerMessenger implements CrashDesk.Audience {
 
   private final ControlThread control;
   private final TrafficReports reports;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureDesk.java
@@ -24,7 +24,7 @@
 final class DepartureDesk implements NewsExchange.Knowledge<DepartureNews> {
 
   private final DepartureLedger ledger = new DepartureLedger();
-  private final FleetAudience audience;
+  private final FleetMessenger audience;
   private final NewsExchange<DepartureNews> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
@@ -39,7 +39,7 @@
    * @param onChange takes all runs that leave, after each change; not null
    */
   DepartureDesk(
-      FleetAudience audience,
+      FleetMessenger audience,
       MillisClock clock,
       DecisionLog log,
       Consumer<Set<TargetId>> onChange) {
@@ -79,7 +79,7 @@
   /** Followers hear of it, if this gateway holds the term; else it has none. */
   private void takeEffect(Collection<TargetId> changed) {
     onChange.accept(ledger.targets());
-    audience.tellAll(newsOf(changed));
+    audience.sendToFollowers(newsOf(changed));
   }
 
   private DepartureNews newsOf(Collection<TargetId> targets) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
@@ -41,7 +41,7 @@
     this.departures = departures;
     this.onChange = onChange;
     this.desk =
-        new DepartureDesk(new PeerAudience(network, subscribers), clock, log, this::takeEffect);
+        new DepartureDesk(new PeerMessenger(network, subscribers), clock, log, this::takeEffect);
   }
 
   void start() {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/LeaseInheritance.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
@@ -14,18 +14,18 @@
  * they tell may free keys many seconds earlier. The holder before stops at once, if it still runs.
  * All methods are for the control thread.
  */
-final class LeaseInheritance {
+final class EarlierLeaseExchange {
 
   private final PeerNetwork network;
   private final Subscribers subscribers;
   private final MillisClock clock;
   private final Runnable onReplaced;
   private final EarlierLeases earlierLeases = new EarlierLeases();
-  private Optional<HolderDuties> duties = Optional.empty();
+  private Optional<TermCoordinator> duties = Optional.empty();
   private Optional<String> formerHolder = Optional.empty();
   private boolean known;
 
-  LeaseInheritance(
+  EarlierLeaseExchange(
       PeerNetwork network, Subscribers subscribers, MillisClock clock, Runnable onReplaced) {
     this.network = network;
     this.subscribers = subscribers;
@@ -34,7 +34,7 @@
   }
 
   /** This process holds the term now. */
-  void onGained(HolderDuties gained, Optional<String> holderBefore) {
+  void onGained(TermCoordinator gained, Optional<String> holderBefore) {
     duties = Optional.of(gained);
     formerHolder = holderBefore;
     EarlierLeases.Memory heard = earlierLeases.heard();
@@ -43,7 +43,7 @@
   }
 
   /** This process holds the term no longer: whoever is next need not wait for more than this. */
-  void onLost(HolderDuties ended) {
+  void onLost(TermCoordinator ended) {
     duties = Optional.empty();
     LeasesLeft left = new LeasesLeft(ended.term(), ended.leasesLeft());
     earlierLeases.onOwnTermEnded(left, clock.nowMs());
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
@@ -61,7 +61,7 @@
   private final TermLease termLease;
   private final Function<TargetId, OptionalDouble> limits;
   private final Consumer<TargetId> onLeaving;
-  private Optional<HolderDuties> duties = Optional.empty();
+  private Optional<TermCoordinator> duties = Optional.empty();
   private volatile boolean holdsTerm;
   private boolean storeCameBack;
 
@@ -112,9 +112,9 @@
             control,
             clock,
             random.split());
-    FleetPace pace = new FleetPace(state);
+    FleetTimings pace = new FleetTimings(state);
     Deputies deputies = new Deputies(network.localAddress());
-    Reliance reliance = new Reliance(pace::confirmedMs, () -> !deputies.isNeeded());
+    PeerReliance reliance = new PeerReliance(pace::confirmedMs, () -> !deputies.isNeeded());
     this.configuration =
         new ConfigurationWatch(ports, state, control, clock, log, reliance, this::onConfiguration);
     this.link =
@@ -198,7 +198,7 @@
    * The older store may name this process as the holder although another has replaced it: only one
    * that most gateways still follow may write what it knows.
    */
-  private void writeAgain(HolderDuties holder) {
+  private void writeAgain(TermCoordinator holder) {
     if (link.isFollowedByMost()) {
       holder.rewrite(termLease::takeAgain);
     } else {
@@ -248,8 +248,8 @@
 
   @Override
   public void onGained(long term) {
-    HolderDuties next =
-        new HolderDuties(
+    TermCoordinator next =
+        new TermCoordinator(
             ports,
             state,
             control,
@@ -271,7 +271,7 @@
 
   @Override
   public void onLost() {
-    duties.ifPresent(HolderDuties::close);
+    duties.ifPresent(TermCoordinator::close);
     duties = Optional.empty();
     holdsTerm = false;
     link.setDuties(duties);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -53,7 +53,7 @@
  *
  * @since 0.2
  */
-final class FleetLink implements HolderDuties.Audience {
+final class FleetLink implements TermCoordinator.Audience {
 
   /** Pause between two reports of load: a hot key has to be noticed within a second. */
   private static final long KEY_WORK_MS = 150;
@@ -106,19 +106,19 @@
   private final GatewaySettings settings;
   private final FirstLook firstLook;
   private final TrafficReports reports;
-  private final FleetPace pace;
+  private final FleetTimings pace;
   private final TermKnowledge terms;
   private final Deputies deputies;
   private final ConfigurationWatch configuration;
   private final long startedMs;
   private final Subscribers subscribers = new Subscribers();
-  private final LeaseInheritance inheritance;
+  private final EarlierLeaseExchange inheritance;
   private final CrashLink crashes;
   private final QuotaLink quotas;
   private final DepartureLink departures;
   private final OwnRegistryLook ownLook;
   private final FleetView view = new FleetView();
-  private volatile Optional<HolderDuties> duties = Optional.empty();
+  private volatile Optional<TermCoordinator> duties = Optional.empty();
   private Optional<String> holderAddress = Optional.empty();
   private UpperTime heard;
   private UpperTime freshBeat;
@@ -140,7 +140,7 @@
       GatewaySettings settings,
       ConfigurationWatch configuration,
       TrafficReports reports,
-      FleetPace pace,
+      FleetTimings pace,
       Runnable onReplaced,
       TermKnowledge terms,
       Deputies deputies,
@@ -155,7 +155,7 @@
     this.firstLook = new FirstLook(ports, control, clock, log, codec, new FirstKnowledge());
     this.reports = reports;
     this.pace = pace;
-    this.inheritance = new LeaseInheritance(network, subscribers, clock, onReplaced);
+    this.inheritance = new EarlierLeaseExchange(network, subscribers, clock, onReplaced);
     this.crashes =
         new CrashLink(
             network, subscribers, ports.store(), codec, control, clock, log, reports, ledger);
@@ -171,7 +171,7 @@
             clock,
             log,
             reports.departures(),
-            () -> duties.ifPresent(HolderDuties::onDepartures));
+            () -> duties.ifPresent(TermCoordinator::onDepartures));
     this.ownLook = new OwnRegistryLook(ports, state, control, clock, log);
     this.terms = terms;
     this.deputies = deputies;
@@ -214,7 +214,7 @@
   }
 
   /** This gateway holds the term now, or no longer. */
-  void setDuties(Optional<HolderDuties> now) {
+  void setDuties(Optional<TermCoordinator> now) {
     heard = clock.upper();
     followsHolder = false;
     duties.ifPresent(inheritance::onLost);
@@ -322,7 +322,7 @@
   }
 
   private boolean isOwnWaySilent() {
-    Optional<HolderDuties> held = duties;
+    Optional<TermCoordinator> held = duties;
     if (held.isPresent()) {
       return held.get().isStoreSilent();
     }
@@ -582,7 +582,7 @@
         .ifPresent(value -> sender.send(new ConfigurationNews(value.revision(), value.value())));
   }
 
-  private void answerAsHolder(PeerChannel sender, FleetHello hello, HolderDuties holder) {
+  private void answerAsHolder(PeerChannel sender, FleetHello hello, TermCoordinator holder) {
     subscribers.onHello(sender, hello, holder.term(), view, clock.nowMs());
     sender.send(
         new FleetBeat(
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetPace.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetTimings.java
@@ -7,7 +7,7 @@
  *
  * <p>In a wide fleet the pauses grow with it, so that the holder hears no more a second.
  */
-final class FleetPace {
+final class FleetTimings {
 
   /** Pause between two hellos in a fleet of up to {@link #NARROW_FLEET} gateways. */
   private static final long HELLO_MS = 300;
@@ -40,7 +40,7 @@
 
   private final RoutingState state;
 
-  FleetPace(RoutingState state) {
+  FleetTimings(RoutingState state) {
     this.state = state;
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderKnowledge.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderState.java
@@ -4,7 +4,7 @@
 import io.cuminvalve.kernel.UpperTime;
 
 /** What the holder of the term knows that may forbid an order. For any thread. */
-interface OrderKnowledge {
+interface HolderState {
 
   /** Returns when the store last confirmed the term; not null. */
   UpperTime termConfirmed();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
@@ -50,7 +50,7 @@
   private final MillisClock clock;
   private final DecisionLog log;
   private final long retryMs;
-  private final Reliance reliance;
+  private final PeerReliance reliance;
   private final Consumer<WatchResult> listener;
   private boolean open;
   private boolean mustRead;
@@ -89,7 +89,7 @@
       MillisClock clock,
       DecisionLog log,
       long retryMs,
-      Reliance reliance,
+      PeerReliance reliance,
       Consumer<WatchResult> listener) {
     this.store = store;
     this.key = key;
@@ -152,7 +152,7 @@
 
   /** Tells whether the store need not be asked now. */
   private boolean mayRest() {
-    if (!reliance.isEntire().getAsBoolean() || newestHeard > revision) {
+    if (!reliance.usesPeersOnly().getAsBoolean() || newestHeard > revision) {
       return false;
     }
     // Who comes next matters more while there is nothing.
@@ -208,7 +208,7 @@
   }
 
   private long nextWaitMs() {
-    if (reliance.isEntire().getAsBoolean() && !absent) {
+    if (reliance.usesPeersOnly().getAsBoolean() && !absent) {
       return 0;
     }
     return isConfirmedByOthers() ? LONG_WAIT_MS : SHORT_WAIT_MS;
@@ -272,7 +272,7 @@
     answerMs = Math.max(ANSWER_MS, answerMs / 2);
     if (result.event() != WatchResult.Event.UNCHANGED) {
       absent = result.event() == WatchResult.Event.ABSENT;
-    } else if (reliance.isEntire().getAsBoolean() && callNumber > newerHeardCall) {
+    } else if (reliance.usesPeersOnly().getAsBoolean() && callNumber > newerHeardCall) {
       // What was told since is gone again: without a wait it would be asked for without end.
       newestHeard = Math.min(newestHeard, revision);
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/NewsExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/NewsExchange.java
@@ -37,11 +37,11 @@
   }
 
   private final Knowledge<N> knowledge;
-  private final FleetAudience audience;
+  private final FleetMessenger audience;
   private Optional<String> holder = Optional.empty();
   private Set<String> confidants = Set.of();
 
-  NewsExchange(Knowledge<N> knowledge, FleetAudience audience) {
+  NewsExchange(Knowledge<N> knowledge, FleetMessenger audience) {
     this.knowledge = knowledge;
     this.audience = audience;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
@@ -13,7 +13,7 @@
   /** An order that took longer to begin is decided on anew. */
   static final long DECISION_MAX_AGE_MS = 400;
 
-  private final OrderKnowledge knowledge;
+  private final HolderState knowledge;
   private final BooleanSupplier holdsTerm;
   private final TargetId target;
   private final UpperTime decided;
@@ -26,8 +26,7 @@
    * @param target whom the order is for; not null
    * @param decided when it was decided on; not null
    */
-  OrderFacts(
-      OrderKnowledge knowledge, BooleanSupplier holdsTerm, TargetId target, UpperTime decided) {
+  OrderFacts(HolderState knowledge, BooleanSupplier holdsTerm, TargetId target, UpperTime decided) {
     this.knowledge = knowledge;
     this.holdsTerm = holdsTerm;
     this.target = target;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
@@ -33,7 +33,7 @@
 
   private final LeaseControl leases;
   private final SendGate gate;
-  private final OrderKnowledge knowledge;
+  private final HolderState knowledge;
   private final ControlThread control;
   private final MillisClock clock;
   private final DecisionLog log;
@@ -47,7 +47,7 @@
 
   OrderSender(
       LeaseControl leases,
-      OrderKnowledge knowledge,
+      HolderState knowledge,
       ControlThread control,
       MillisClock clock,
       DecisionLog log,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerAudience.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerMessenger.java
@@ -4,18 +4,18 @@
 import io.cuminvalve.wire.PeerNetwork;
 
 /** The other gateways, over the network. For the control thread. */
-class PeerAudience implements FleetAudience {
+class PeerMessenger implements FleetMessenger {
 
   private final PeerNetwork network;
   private final Subscribers subscribers;
 
-  PeerAudience(PeerNetwork network, Subscribers subscribers) {
+  PeerMessenger(PeerNetwork network, Subscribers subscribers) {
     this.network = network;
     this.subscribers = subscribers;
   }
 
   @Override
-  public void tellAll(FleetMessage message) {
+  public void sendToFollowers(FleetMessage message) {
     subscribers.tell(message);
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Reliance.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerReliance.java
@@ -8,11 +8,11 @@
  *
  * @param maxAgeMs how old knowledge may be before the process looks for itself; milliseconds; not
  *     null
- * @param isEntire whether it asks the store nothing while others confirm what it knows; otherwise
- *     it has a long wait of its own there; not null
+ * @param usesPeersOnly whether it asks the store nothing while others confirm what it knows;
+ *     otherwise it has a long wait of its own there; not null
  * @since 0.2
  */
-public record Reliance(LongSupplier maxAgeMs, BooleanSupplier isEntire) {
+public record PeerReliance(LongSupplier maxAgeMs, BooleanSupplier usesPeersOnly) {
 
   /**
    * Returns the reliance of a process that always waits at the store itself.
@@ -20,7 +20,7 @@
    * @param maxAgeMs how old knowledge may be before its waits become short; milliseconds; not null
    * @return never null
    */
-  public static Reliance partial(LongSupplier maxAgeMs) {
-    return new Reliance(maxAgeMs, () -> false);
+  public static PeerReliance partial(LongSupplier maxAgeMs) {
+    return new PeerReliance(maxAgeMs, () -> false);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaDesk.java
@@ -26,7 +26,7 @@
 final class QuotaDesk implements NewsExchange.Knowledge<LimitNews> {
 
   /** Whom a gateway tells. */
-  interface Audience extends FleetAudience {
+  interface Audience extends FleetMessenger {
 
     /** Returns how many gateways follow this one, the holder. */
     int followers();
@@ -112,7 +112,7 @@
       return;
     }
     issuer.get().setLimits(quotas.limits(), clock.nowMs());
-    audience.tellAll(new LimitNews(false, quotas.reports(changed)));
+    audience.sendToFollowers(new LimitNews(false, quotas.reports(changed)));
   }
 
   /** Another process says hello: which limits it knows, in short. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
@@ -18,7 +18,7 @@
  * Connects the {@link QuotaDesk} of this gateway with its traffic and the other gateways. For the
  * control thread.
  */
-final class QuotaLink extends PeerAudience implements QuotaDesk.Audience {
+final class QuotaLink extends PeerMessenger implements QuotaDesk.Audience {
 
   private final RoutingState state;
   private final ControlThread control;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/LimitCapacity.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RateLimitCapacity.java
@@ -13,7 +13,7 @@
  * <p>A limit counts requests and load is measured in busy slots: the mean work of a request of the
  * service turns one into the other.
  */
-final class LimitCapacity {
+final class RateLimitCapacity {
 
   /** A target with a limit near 0 still is some target. */
   private static final double LEAST_SLOTS = 0.01;
@@ -26,7 +26,7 @@
   private final Function<TargetId, OptionalDouble> limits;
   private double meanWorkMs;
 
-  LimitCapacity(Function<TargetId, OptionalDouble> limits) {
+  RateLimitCapacity(Function<TargetId, OptionalDouble> limits) {
     this.limits = limits;
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingOwners.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
@@ -12,7 +12,7 @@
  * Knows, as the holder of the term, which targets have asked gateways for rest. For the control
  * thread.
  */
-final class RestingOwners {
+final class RestingTargets {
 
   /** A rest that is over sooner costs callers less than moving the keys. */
   private static final long SHORT_REST_MS = 500;
@@ -24,7 +24,7 @@
   private final IntSupplier gateways;
   private final Map<TargetId, Map<String, Long>> endsMs = new HashMap<>();
 
-  RestingOwners(MillisClock clock, IntSupplier gateways) {
+  RestingTargets(MillisClock clock, IntSupplier gateways) {
     this.clock = clock;
     this.gateways = gateways;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServiceDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
@@ -37,7 +37,7 @@
  * <p>Keys of targets that leave, or rest, are spread at once; otherwise load is evened out at a
  * pace. All methods are for the control thread.
  */
-final class ServiceDuties {
+final class ServicePlanner {
 
   /** Targets register one after the other: the first assignment waits for a pause this long. */
   private static final long SETTLE_MS = 2_000;
@@ -74,7 +74,7 @@
   private final KeyLoads loads;
   private final TargetSpeeds speeds = new TargetSpeeds();
   private final Predicate<TargetId> resting;
-  private final LimitCapacity capacity;
+  private final RateLimitCapacity capacity;
   private final Set<TargetId> busy = new HashSet<>();
   private final RangeTidier tidier = new RangeTidier();
   private final OverloadPolicy overload = new OverloadPolicy();
@@ -88,7 +88,7 @@
   private long balancedMs;
   private long tidiedMs;
 
-  ServiceDuties(
+  ServicePlanner(
       ServiceId service,
       LeaseDesk desk,
       DecisionLog log,
@@ -100,7 +100,7 @@
     this.log = log;
     this.loads = new KeyLoads(LOAD_MEMORY_MS, nowMs);
     this.resting = resting;
-    this.capacity = new LimitCapacity(limits);
+    this.capacity = new RateLimitCapacity(limits);
     this.startedMs = nowMs;
     this.targetsChangedMs = nowMs;
     this.balancedMs = nowMs;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
@@ -49,7 +49,7 @@
  *
  * @since 0.2
  */
-final class HolderDuties {
+final class TermCoordinator {
 
   /** Tells the gateways of the fleet. */
   interface Audience {
@@ -90,12 +90,12 @@
   private final Audience audience;
   private final boolean storeCameBack;
   private final Function<TargetId, OptionalDouble> limits;
-  private final RestingOwners resting;
+  private final RestingTargets resting;
   private final RegistryFollower follower;
   private final OwnershipStore ownership;
   private final OrderSender sender;
   private final long startedMs;
-  private final Map<ServiceId, ServiceDuties> duties = new LinkedHashMap<>();
+  private final Map<ServiceId, ServicePlanner> duties = new LinkedHashMap<>();
   private final Map<TargetId, String> lastAddresses = new HashMap<>();
   private final Map<TargetId, Long> firstSeen = new HashMap<>();
   private final Set<TargetId> ended = ConcurrentHashMap.newKeySet();
@@ -117,7 +117,7 @@
   private Optional<UpperTime> staleSince = Optional.empty();
   private Future<?> ticking;
 
-  HolderDuties(
+  TermCoordinator(
       GatewayPorts ports,
       RoutingState state,
       ControlThread control,
@@ -142,7 +142,7 @@
     this.audience = audience;
     this.storeCameBack = storeCameBack;
     this.limits = limits;
-    this.resting = new RestingOwners(clock, () -> state.current().processes());
+    this.resting = new RestingTargets(clock, () -> state.current().processes());
     this.startedMs = clock.nowMs();
     this.follower =
         new RegistryFollower(
@@ -201,7 +201,7 @@
 
   void onReport(PeerMessage report) {
     if (report instanceof KeyLoadReport work) {
-      ServiceDuties service = duties.get(work.service());
+      ServicePlanner service = duties.get(work.service());
       if (service != null) {
         service.onKeyWork(work);
       }
@@ -336,7 +336,7 @@
   }
 
   private void noteRestart(FleetTarget target) {
-    ServiceDuties service = duties.get(target.service());
+    ServicePlanner service = duties.get(target.service());
     if (service != null && service.desk().onRestarted(target.id())) {
       log.write("target_restarted", "target={} service={}", target.id(), target.service());
     }
@@ -400,18 +400,18 @@
     state.current().configuration().ifPresent(this::addServices);
     boolean outage = termLease.isOutage();
     boolean storeAnswers = !outage && !ownership.isWriting();
-    for (ServiceDuties service : duties.values()) {
+    for (ServicePlanner service : duties.values()) {
       service.plan(follower.register(), state.current().processes(), storeAnswers, nowMs);
     }
     duties.values().forEach(service -> service.desk().setOutage(outage));
     renewStaleTokens();
     writeIfNeeded(nowMs);
-    for (ServiceDuties service : duties.values()) {
+    for (ServicePlanner service : duties.values()) {
       for (LeaseOrder order : service.desk().due(nowMs, sender::mayAsk)) {
         sender.send(service.desk(), order);
       }
     }
-    if (duties.values().stream().anyMatch(ServiceDuties::routesChanged)) {
+    if (duties.values().stream().anyMatch(ServicePlanner::routesChanged)) {
       tellRoutesAtPace(nowMs);
     }
   }
@@ -441,7 +441,7 @@
     }
   }
 
-  private ServiceDuties newDuties(ServiceId id) {
+  private ServicePlanner newDuties(ServiceId id) {
     LeaseDesk desk = new LeaseDesk(id, timings, this::nextToken);
     OwnershipTable table = stored.get(id);
     if (table != null && !table.assignments().isEmpty()) {
@@ -455,7 +455,7 @@
       follower.register().of(id).forEach(target -> desk.onRestarted(target.id()));
       log.write("keys_taken_over", "service={} ranges={}", id, desk.rangeCount());
     }
-    return new ServiceDuties(id, desk, log, limits, resting::isResting, clock.nowMs());
+    return new ServicePlanner(id, desk, log, limits, resting::isResting, clock.nowMs());
   }
 
   private long nextToken() {
@@ -556,7 +556,7 @@
   }
 
   /** What may forbid an order when its first byte is due. */
-  private final class Knowledge implements OrderKnowledge {
+  private final class Knowledge implements HolderState {
 
     @Override
     public UpperTime termConfirmed() {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermLease.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermLease.java
@@ -137,7 +137,7 @@
       boolean firstCandidate,
       double processorCores,
       long graceMs,
-      Reliance reliance,
+      PeerReliance reliance,
       Listener listener) {
     this.store = store;
     this.control = control;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ConfigurationWatchTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ConfigurationWatchTest.java
@@ -49,7 +49,7 @@
           control,
           clock,
           new DecisionLog(clock, 100, line -> {}),
-          Reliance.partial(() -> MAX_AGE_MS),
+          PeerReliance.partial(() -> MAX_AGE_MS),
           value -> {});
 
   @BeforeEach
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
@@ -246,7 +246,7 @@
     }
 
     @Override
-    public void tellAll(FleetMessage message) {
+    public void sendToFollowers(FleetMessage message) {
       members.stream()
           .filter(member -> member.index != index)
           .forEach(member -> send(this, member.index, message));
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureDeskTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureDeskTest.java
@@ -130,7 +130,7 @@
   }
 
   /** One gateway. */
-  private final class Member implements FleetAudience {
+  private final class Member implements FleetMessenger {
 
     private final int index;
     private Set<TargetId> leaving = new HashSet<>();
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public void tellAll(FleetMessage message) {
+    public void sendToFollowers(FleetMessage message) {
       if (index == holder) {
         members.forEach(member -> tell(member.index, message));
       }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetPaceTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetTimingsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Bounds on the age of knowledge, in fleets of any width. */
-class FleetPaceTest {
+class FleetTimingsTest {
 
   private static final long IN_FORCE_MS = 2_000;
   private static final long SLOW_ANSWER_MS = 240;
@@ -16,7 +16,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 9, 40, 45, 87, 300, 1_000})
   void nothingIsSentByConfigurationsThatMayBeOutOfForce(int processes) {
-    FleetPace pace = new FleetPace(new RoutingState(processes));
+    FleetTimings pace = new FleetTimings(new RoutingState(processes));
     assertWithMessage("the gate's bound in a fleet of %s, ms", processes)
         .that(pace.configurationMaxAgeMs())
         .isLessThan(IN_FORCE_MS);
@@ -26,7 +26,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 9, 40, 45, 87, 300, 1_000})
   void oldConfigurationsAreLookedUpBeforeTheyForbidRequests(int processes) {
-    FleetPace pace = new FleetPace(new RoutingState(processes));
+    FleetTimings pace = new FleetTimings(new RoutingState(processes));
     assertWithMessage("age at the look in a fleet of %s, and a slow answer, ms", processes)
         .that(pace.confirmedMs() + SLOW_ANSWER_MS)
         .isLessThan(pace.configurationMaxAgeMs());
@@ -36,7 +36,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 9, 40, 45, 87, 300, 1_000})
   void wordsOfTheHolderThatComeInTimeAreEnough(int processes) {
-    FleetPace pace = new FleetPace(new RoutingState(processes));
+    FleetTimings pace = new FleetTimings(new RoutingState(processes));
     assertWithMessage("age before the next word in a fleet of %s, ms", processes)
         .that(KeyFollower.SHORT_WAIT_MS + pace.helloMs())
         .isLessThan(pace.confirmedMs());
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
@@ -82,11 +82,17 @@
     GatewayPorts ports =
         new GatewayPorts(
             new CursorStore(clock), "configuration", bytes -> null, registry, null, null);
-    FleetPace pace = new FleetPace(state);
+    FleetTimings pace = new FleetTimings(state);
     Network network = new Network();
     this.configuration =
         new ConfigurationWatch(
-            ports, state, control, clock, log, Reliance.partial(pace::confirmedMs), value -> {});
+            ports,
+            state,
+            control,
+            clock,
+            log,
+            PeerReliance.partial(pace::confirmedMs),
+            value -> {});
     this.link =
         new FleetLink(
             network,
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/KeyFollowerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/KeyFollowerTest.java
@@ -34,7 +34,7 @@
           clock,
           new DecisionLog(clock, 100, line -> {}),
           RETRY_MS,
-          new Reliance(() -> MAX_AGE_MS, () -> reliesOnOthers),
+          new PeerReliance(() -> MAX_AGE_MS, () -> reliesOnOthers),
           result -> ends.add(result.event()));
 
   @BeforeEach
@@ -219,7 +219,7 @@
             clock,
             new DecisionLog(clock, 100, line -> {}),
             RETRY_MS,
-            new Reliance(() -> MAX_AGE_MS, () -> false),
+            new PeerReliance(() -> MAX_AGE_MS, () -> false),
             result -> {});
     late.start();
     controlClock.advance(0);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OrderFactsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OrderFactsTest.java
@@ -80,7 +80,7 @@
     assertThat(check(SendKind.RELEASE)).hasValue(new SendObstacle(SendCondition.TERM_HELD, false));
   }
 
-  private final class Knowledge implements OrderKnowledge {
+  private final class Knowledge implements HolderState {
 
     @Override
     public UpperTime termConfirmed() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
@@ -262,7 +262,7 @@
     }
 
     @Override
-    public void tellAll(FleetMessage message) {
+    public void sendToFollowers(FleetMessage message) {
       members.stream()
           .filter(member -> member != this)
           .forEach(member -> send(this, member.index, message));
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
@@ -72,9 +72,9 @@
           false,
           1,
           GRACE_MS,
-          Reliance.partial(() -> 1_000),
+          PeerReliance.partial(() -> 1_000),
           new IgnoredEvents());
-  private HolderDuties duties;
+  private TermCoordinator duties;
 
   @BeforeEach
   void grantAllKeys() {
@@ -128,8 +128,8 @@
     control.execute(() -> duties.onReport(new TargetReplaced(replaced)));
   }
 
-  private HolderDuties newDuties() {
-    return new HolderDuties(
+  private TermCoordinator newDuties() {
+    return new TermCoordinator(
         new GatewayPorts(
             new MemoryStore(),
             "configuration",
@@ -204,7 +204,7 @@
     }
   }
 
-  private static final class NoAudience implements HolderDuties.Audience {
+  private static final class NoAudience implements TermCoordinator.Audience {
 
     @Override
     public void onTargets(long term, long version, List<FleetTarget> targets) {}
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingOwnersTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingTargetsTest.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RestingOwnersTest {
+class RestingTargetsTest {
 
   private static final TargetId TARGET = new TargetId("core-0");
 
   private long nowMs;
   private int gateways = 4;
-  private final RestingOwners resting = new RestingOwners(() -> nowMs, () -> gateways);
+  private final RestingTargets resting = new RestingTargets(() -> nowMs, () -> gateways);
 
   private void report(int gateway, TargetId target, long leftMs) {
     resting.onReport(
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServiceDutiesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServicePlannerTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Load that is uneven, and targets that leave, while the store answers and while it does not. */
-class ServiceDutiesTest {
+class ServicePlannerTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
   private static final LeaseTimings TIMINGS =
@@ -40,8 +40,8 @@
   private final Set<TargetId> resting = new HashSet<>();
   private long tokens;
   private final LeaseDesk desk = new LeaseDesk(SERVICE, TIMINGS, () -> ++tokens);
-  private final ServiceDuties duties =
-      new ServiceDuties(
+  private final ServicePlanner duties =
+      new ServicePlanner(
           SERVICE,
           desk,
           new DecisionLog(() -> 0, 100, line -> {}),
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCallsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCallsTest.java
@@ -124,7 +124,7 @@
 
   private KeyFollower newFollower(GuardedStore store, String key) {
     return new KeyFollower(
-        store, key, control, clock, log, RETRY_MS, Reliance.partial(() -> 2_390), result -> {});
+        store, key, control, clock, log, RETRY_MS, PeerReliance.partial(() -> 2_390), result -> {});
   }
 
   /** Counts and lets everything through. */
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/HolderDutiesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermCoordinatorTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a gateway tells the others once it holds the term. */
-class HolderDutiesTest {
+class TermCoordinatorTest {
 
   private static final LeaseTimings TIMINGS =
       new LeaseTimings(4_000, 10_000, 1_000, 2_000, 700, 100, 0.02, 100, 9_500);
@@ -40,7 +40,7 @@
   private final RoutingState state = new RoutingState(2);
   private final List<List<FleetTarget>> told = new ArrayList<>();
 
-  private HolderDuties duties() {
+  private TermCoordinator duties() {
     DecisionLog log = new DecisionLog(clock, 1, line -> {});
     CursorStore store = new CursorStore(clock);
     TermLease lease =
@@ -55,10 +55,10 @@
             true,
             1,
             9_500,
-            Reliance.partial(() -> 1_460),
+            PeerReliance.partial(() -> 1_460),
             null);
-    HolderDuties.Audience audience =
-        new HolderDuties.Audience() {
+    TermCoordinator.Audience audience =
+        new TermCoordinator.Audience() {
           @Override
           public void onTargets(long term, long version, List<FleetTarget> targets) {
             told.add(targets);
@@ -67,7 +67,7 @@
           @Override
           public void onRoutes(long term, long version, List<ServiceRanges> services) {}
         };
-    return new HolderDuties(
+    return new TermCoordinator(
         new GatewayPorts(store, "configuration", bytes -> null, way, null, null),
         state,
         control,
@@ -92,7 +92,7 @@
     state.update(s -> s.withTargets(List.of(READY, target(B, TargetPhase.READY))));
     registry.put(target(A, TargetPhase.DRAINING));
     way.silenceNextListings(1);
-    HolderDuties duties = duties();
+    TermCoordinator duties = duties();
     control.execute(duties::start);
     clock.advance(100);
     state.update(s -> s.withLeaving(Set.of(B)));
@@ -107,7 +107,7 @@
   @Test
   void theAgeOfTheRegistryBeginsWithItsFirstAnswer() {
     way.silenceNextListings(5);
-    HolderDuties duties = duties();
+    TermCoordinator duties = duties();
     control.execute(duties::start);
     clock.advance(1_000);
     assertThat(clock.upper().sinceMs(duties.targetsConfirmed()))
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermLeaseTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermLeaseTest.java
@@ -38,7 +38,7 @@
           false,
           1,
           GRACE_MS,
-          Reliance.partial(() -> 1_000),
+          PeerReliance.partial(() -> 1_000),
           new Events());
 
   private long nowMs() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WaitBoundsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WaitBoundsTest.java
@@ -44,10 +44,10 @@
   private final List<String> lines = new ArrayList<>();
 
   private KeyFollower follower(CursorStore from, long maxAgeMs) {
-    return follower(from, Reliance.partial(() -> maxAgeMs));
+    return follower(from, PeerReliance.partial(() -> maxAgeMs));
   }
 
-  private KeyFollower follower(CursorStore from, Reliance reliance) {
+  private KeyFollower follower(CursorStore from, PeerReliance reliance) {
     return new KeyFollower(
         from,
         "key",
@@ -121,8 +121,8 @@
 
   /** The wait and the link to the holder fall silent together, right after the holder's word. */
   private long worstDelayMs(int processes, int silentBesides, boolean entirelyReliant) {
-    FleetPace pace = new FleetPace(new RoutingState(processes));
-    Reliance reliance = new Reliance(pace::confirmedMs, () -> entirelyReliant);
+    FleetTimings pace = new FleetTimings(new RoutingState(processes));
+    PeerReliance reliance = new PeerReliance(pace::confirmedMs, () -> entirelyReliant);
     long worst = 0;
     for (int phase = 0; phase < 150; phase += 10) {
       CursorStore one = new CursorStore(clock);
@@ -197,7 +197,7 @@
             control,
             clock,
             log,
-            Reliance.partial(() -> 1_460),
+            PeerReliance.partial(() -> 1_460),
             value -> {});
     control.execute(watch::start);
     clock.advance(10);
@@ -256,7 +256,7 @@
             true,
             1,
             9_500,
-            Reliance.partial(() -> 1_460),
+            PeerReliance.partial(() -> 1_460),
             listener);
     control.execute(lease::start);
     clock.advance(30_000);
