--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
@@ -19,59 +19,59 @@
   private final PeerNetwork network;
   private final Subscribers subscribers;
   private final MillisClock clock;
-  private final Runnable onReplaced;
+  private final Runnable onTermReplaced;
   private final EarlierLeases earlierLeases = new EarlierLeases();
-  private Optional<TermCoordinator> duties = Optional.empty();
+  private Optional<TermCoordinator> coordinator = Optional.empty();
   private Optional<String> formerHolder = Optional.empty();
-  private boolean known;
+  private boolean complete;
 
   EarlierLeaseExchange(
-      PeerNetwork network, Subscribers subscribers, MillisClock clock, Runnable onReplaced) {
+      PeerNetwork network, Subscribers subscribers, MillisClock clock, Runnable onTermReplaced) {
     this.network = network;
     this.subscribers = subscribers;
     this.clock = clock;
-    this.onReplaced = onReplaced;
+    this.onTermReplaced = onTermReplaced;
   }
 
   /** This process holds the term now. */
   void onGained(TermCoordinator gained, Optional<String> holderBefore) {
-    duties = Optional.of(gained);
+    coordinator = Optional.of(gained);
     formerHolder = holderBefore;
-    EarlierLeases.Memory heard = earlierLeases.heard();
-    known = gained.onLeasesLeft(heard.left(), heard.toldMs());
-    ask();
+    EarlierLeases.Snapshot heard = earlierLeases.heard();
+    complete = gained.onLeasesLeft(heard.left(), heard.takenMs());
+    requestLeases();
   }
 
   /** This process holds the term no longer: whoever is next need not wait for more than this. */
   void onLost(TermCoordinator ended) {
-    duties = Optional.empty();
+    coordinator = Optional.empty();
     LeasesLeft left = new LeasesLeft(ended.term(), ended.leasesLeft());
     earlierLeases.onOwnTermEnded(left, clock.nowMs());
-    subscribers.tell(left);
+    subscribers.sendToAll(left);
   }
 
   /** Asks once more, as the holder, unless it is known already. */
-  void ask() {
-    if (known) {
+  void requestLeases() {
+    if (complete) {
       return;
     }
-    HolderEnded question = new HolderEnded(duties.orElseThrow().term());
-    formerHolder.ifPresent(address -> network.send(address, question));
-    subscribers.tell(question);
+    HolderEnded request = new HolderEnded(coordinator.orElseThrow().term());
+    formerHolder.ifPresent(address -> network.send(address, request));
+    subscribers.sendToAll(request);
   }
 
   /** Another gateway tells what an ended holder left behind. */
   void onLeasesLeft(LeasesLeft left) {
     long nowMs = clock.nowMs();
     earlierLeases.onHeard(left, nowMs);
-    duties.ifPresent(holder -> known |= holder.onLeasesLeft(left, nowMs));
+    coordinator.ifPresent(holder -> complete |= holder.onLeasesLeft(left, nowMs));
   }
 
   /** The term of an earlier holder is over, perhaps of this process: then it stops at once. */
   void onHolderEnded(PeerChannel sender, HolderEnded ended) {
-    if (duties.isPresent() && duties.get().term() < ended.term()) {
-      onReplaced.run();
+    if (coordinator.isPresent() && coordinator.get().term() < ended.term()) {
+      onTermReplaced.run();
     }
-    earlierLeases.leftBefore(ended.term(), clock.nowMs()).ifPresent(sender::send);
+    earlierLeases.leasesBefore(ended.term(), clock.nowMs()).ifPresent(sender::send);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
@@ -15,29 +15,29 @@
  */
 final class EarlierLeases {
 
-  private Memory own = new Memory(new LeasesLeft(0, List.of()), 0);
-  private Memory heard = own;
+  private Snapshot own = new Snapshot(new LeasesLeft(0, List.of()), 0);
+  private Snapshot heard = own;
 
   /** A term of this process is over. */
   void onOwnTermEnded(LeasesLeft left, long nowMs) {
-    own = new Memory(left, nowMs);
+    own = new Snapshot(left, nowMs);
   }
 
   /** Another process told what it, or a holder before it, left behind. */
   void onHeard(LeasesLeft left, long nowMs) {
     if (left.term() > heard.left().term()) {
-      heard = new Memory(left, nowMs);
+      heard = new Snapshot(left, nowMs);
     }
   }
 
   /** Returns what other processes told last; of term 0 if they told nothing. */
-  Memory heard() {
+  Snapshot heard() {
     return heard;
   }
 
   /** Returns what the newest term known left behind, with what is left of each lease by now. */
-  Optional<LeasesLeft> leftBefore(long term, long nowMs) {
-    Memory newest = own.left().term() > heard.left().term() ? own : heard;
+  Optional<LeasesLeft> leasesBefore(long term, long nowMs) {
+    Snapshot newest = own.left().term() > heard.left().term() ? own : heard;
     if (newest.left().term() == 0 || newest.left().term() >= term) {
       return Optional.empty();
     }
@@ -48,12 +48,12 @@
    * What was left at one moment.
    *
    * @param left the leases; not null
-   * @param toldMs the moment; milliseconds
+   * @param takenMs the moment; milliseconds
    */
-  record Memory(LeasesLeft left, long toldMs) {
+  record Snapshot(LeasesLeft left, long takenMs) {
 
     private LeasesLeft at(long nowMs) {
-      long pastMs = nowMs - toldMs;
+      long pastMs = nowMs - takenMs;
       List<LeaseLeft> running = new ArrayList<>();
       for (LeaseLeft lease : left.leases()) {
         if (lease.leftMs() > pastMs) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
@@ -33,7 +33,7 @@
 
   private static final long CONNECT_TIMEOUT_MS = 500;
   private static final long KEEP_ALIVE_MS = 1_000;
-  private static final long SILENT_MS = 3_000;
+  private static final long SILENCE_TIMEOUT_MS = 3_000;
   private static final long BACKOFF_MIN_MS = 50;
   private static final long BACKOFF_MAX_MS = 500;
   private static final int QUEUE_CAPACITY = 256;
@@ -61,9 +61,9 @@
   private final TermLease termLease;
   private final Function<TargetId, OptionalDouble> limits;
   private final Consumer<TargetId> onLeaving;
-  private Optional<TermCoordinator> duties = Optional.empty();
+  private Optional<TermCoordinator> coordinator = Optional.empty();
   private volatile boolean holdsTerm;
-  private boolean storeCameBack;
+  private boolean storeRestored;
 
   /**
    * Creates the control of a gateway. Opens the listener for peers.
@@ -103,7 +103,7 @@
                 sharedKey,
                 CONNECT_TIMEOUT_MS,
                 KEEP_ALIVE_MS,
-                SILENT_MS,
+                SILENCE_TIMEOUT_MS,
                 BACKOFF_MIN_MS,
                 BACKOFF_MAX_MS,
                 QUEUE_CAPACITY),
@@ -112,11 +112,12 @@
             control,
             clock,
             random.split());
-    FleetTimings pace = new FleetTimings(state);
+    FleetTimings timings = new FleetTimings(state);
     Deputies deputies = new Deputies(network.localAddress());
-    PeerReliance reliance = new PeerReliance(pace::confirmedMs, () -> !deputies.isNeeded());
+    PeerReliance peerReliance = new PeerReliance(timings::confirmedMs, () -> !deputies.isNeeded());
     this.configuration =
-        new ConfigurationWatch(ports, state, control, clock, log, reliance, this::onConfiguration);
+        new ConfigurationWatch(
+            ports, state, control, clock, log, peerReliance, this::onConfigurationChanged);
     this.link =
         new FleetLink(
             network,
@@ -129,9 +130,9 @@
             settings,
             configuration,
             reports,
-            pace,
-            this::onReplaced,
-            new LeasedTerm(),
+            timings,
+            this::onTermReplaced,
+            new TermLeaseKnowledge(),
             deputies,
             new CrashLedger(random.nextDouble()));
     this.termLease =
@@ -146,7 +147,7 @@
             settings.firstCandidate(),
             settings.processorCores(),
             settings.leases().holderGraceMs(),
-            reliance,
+            peerReliance,
             this);
   }
 
@@ -154,12 +155,12 @@
     link.onMessage(sender, message);
   }
 
-  private void onReplaced() {
+  private void onTermReplaced() {
     termLease.onReplaced();
   }
 
-  private void onConfiguration(StoreValue value) {
-    link.tellConfiguration(value.revision());
+  private void onConfigurationChanged(StoreValue value) {
+    link.announceConfiguration(value.revision());
   }
 
   /**
@@ -189,17 +190,17 @@
   /** The store has lost what it acknowledged last: the holder writes what it knows again. */
   private void onStoreCameBack() {
     log.write("store_came_back_older", "epoch={}", ports.store().epoch());
-    storeCameBack = true;
+    storeRestored = true;
     termLease.onStoreCameBack();
-    duties.ifPresent(this::writeAgain);
+    coordinator.ifPresent(this::rewriteOwnership);
   }
 
   /**
    * The older store may name this process as the holder although another has replaced it: only one
    * that most gateways still follow may write what it knows.
    */
-  private void writeAgain(TermCoordinator holder) {
-    if (link.isFollowedByMost()) {
+  private void rewriteOwnership(TermCoordinator holder) {
+    if (link.hasMajorityOfFollowers()) {
       holder.rewrite(termLease::takeAgain);
     } else {
       termLease.renounce("store_came_back_older");
@@ -260,21 +261,21 @@
             term,
             termLease,
             link,
-            storeCameBack,
+            storeRestored,
             limits,
             onLeaving);
-    duties = Optional.of(next);
+    coordinator = Optional.of(next);
     holdsTerm = true;
-    link.setDuties(duties);
+    link.setCoordinator(coordinator);
     next.start();
   }
 
   @Override
   public void onLost() {
-    duties.ifPresent(TermCoordinator::close);
-    duties = Optional.empty();
+    coordinator.ifPresent(TermCoordinator::close);
+    coordinator = Optional.empty();
     holdsTerm = false;
-    link.setDuties(duties);
+    link.setCoordinator(coordinator);
   }
 
   @Override
@@ -284,7 +285,7 @@
   }
 
   /** The link is made before the lease of the term. */
-  private final class LeasedTerm implements TermKnowledge {
+  private final class TermLeaseKnowledge implements TermKnowledge {
 
     @Override
     public boolean onHeard(long term, String holderAddress, UpperTime at) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -53,13 +53,13 @@
  *
  * @since 0.2
  */
-final class FleetLink implements TermCoordinator.Audience {
+final class FleetLink implements TermCoordinator.Listener {
 
   /** Pause between two reports of load: a hot key has to be noticed within a second. */
-  private static final long KEY_WORK_MS = 150;
+  private static final long KEY_LOAD_INTERVAL_MS = 150;
 
   /** Pause between two reports of times: the speed of a target seldom changes. */
-  private static final long TARGET_TIMES_MS = 1_000;
+  private static final long TARGET_TIMES_INTERVAL_MS = 1_000;
 
   /** A holder whose knowledge of the targets is older is not heard: a call, its pace and some. */
   static final long STALE_REGISTRY_MS = 1_300;
@@ -68,34 +68,34 @@
    * Older knowledge of the targets is looked up here: two calls of the holder to a slow store, its
    * pause, the longest pause between hellos; what is left of 1.95 s is for the look.
    */
-  private static final long OUTDATED_TARGETS_MS = 1_500;
+  private static final long MAX_TARGETS_AGE_MS = 1_500;
 
   /** A holder that knows nothing newer is not followed again. */
   private static final long FRESH_TARGETS_MS = 1_100;
 
   /** Pause between two looks at the age of what is known. */
-  private static final long CHECK_MS = 50;
+  private static final long AGE_CHECK_INTERVAL_MS = 50;
 
   /** In a wide fleet the registry takes several calls; a holder that is there may be faster. */
-  private static final long LIST_AFTER_MS = 60;
+  private static final long FIRST_LISTING_DELAY_MS = 60;
 
   /** Pause between two questions to deputies: a few fit into the time for which a beat counts. */
-  private static final long ASK_DEPUTIES_MS = 300;
+  private static final long DEPUTY_QUERY_INTERVAL_MS = 300;
 
   /** A beat may be so late. */
-  private static final long BEAT_DELAY_MS = 150;
+  private static final long MAX_BEAT_DELAY_MS = 150;
 
   /** A holder that the store answers confirms what it knows more often than this. */
-  private static final long FRESH_MS = 1_200;
+  private static final long FRESH_BEAT_AGE_MS = 1_200;
 
   /**
    * Whom the store has answered so lately it does not leave without answers in general. Less than
    * the age at which knowledge of targets forbids sends, so that they go on if it is away.
    */
-  private static final long ANSWERED_LATELY_MS = 1_700;
+  private static final long RECENT_STORE_ANSWER_MS = 1_700;
 
   /** The store usually answers a process that starts within a few milliseconds. */
-  private static final long ASK_SEEDS_AFTER_MS = 500;
+  private static final long SEED_QUERY_DELAY_MS = 500;
 
   private final PeerNetwork network;
   private final RoutingState state;
@@ -106,25 +106,25 @@
   private final GatewaySettings settings;
   private final FirstLook firstLook;
   private final TrafficReports reports;
-  private final FleetTimings pace;
+  private final FleetTimings timings;
   private final TermKnowledge terms;
   private final Deputies deputies;
   private final ConfigurationWatch configuration;
   private final long startedMs;
   private final Subscribers subscribers = new Subscribers();
-  private final EarlierLeaseExchange inheritance;
+  private final EarlierLeaseExchange earlierLeases;
   private final CrashLink crashes;
   private final QuotaLink quotas;
   private final DepartureLink departures;
-  private final OwnRegistryLook ownLook;
+  private final OwnRegistryLook ownRegistryLook;
   private final FleetView view = new FleetView();
-  private volatile Optional<TermCoordinator> duties = Optional.empty();
+  private volatile Optional<TermCoordinator> coordinator = Optional.empty();
   private Optional<String> holderAddress = Optional.empty();
-  private UpperTime heard;
-  private UpperTime freshBeat;
+  private UpperTime holderHeard;
+  private UpperTime lastFreshBeat;
 
   /** When the store last answered another gateway, as far as is known. */
-  private volatile UpperTime othersAnswered = UpperTime.NEVER;
+  private volatile UpperTime storeAnsweredOthers = UpperTime.NEVER;
 
   private boolean followsHolder;
   private volatile Optional<Long> firstListingDueMs = Optional.empty();
@@ -140,8 +140,8 @@
       GatewaySettings settings,
       ConfigurationWatch configuration,
       TrafficReports reports,
-      FleetTimings pace,
-      Runnable onReplaced,
+      FleetTimings timings,
+      Runnable onTermReplaced,
       TermKnowledge terms,
       Deputies deputies,
       CrashLedger ledger) {
@@ -152,10 +152,10 @@
     this.log = log;
     this.ports = ports;
     this.settings = settings;
-    this.firstLook = new FirstLook(ports, control, clock, log, codec, new FirstKnowledge());
+    this.firstLook = new FirstLook(ports, control, clock, log, codec, new FirstLookListener());
     this.reports = reports;
-    this.pace = pace;
-    this.inheritance = new EarlierLeaseExchange(network, subscribers, clock, onReplaced);
+    this.timings = timings;
+    this.earlierLeases = new EarlierLeaseExchange(network, subscribers, clock, onTermReplaced);
     this.crashes =
         new CrashLink(
             network, subscribers, ports.store(), codec, control, clock, log, reports, ledger);
@@ -171,33 +171,33 @@
             clock,
             log,
             reports.departures(),
-            () -> duties.ifPresent(TermCoordinator::onDepartures));
-    this.ownLook = new OwnRegistryLook(ports, state, control, clock, log);
+            () -> coordinator.ifPresent(TermCoordinator::onDepartures));
+    this.ownRegistryLook = new OwnRegistryLook(ports, state, control, clock, log);
     this.terms = terms;
     this.deputies = deputies;
     this.configuration = configuration;
     this.startedMs = clock.nowMs();
-    this.heard = clock.upper();
-    this.freshBeat = clock.upper();
+    this.holderHeard = clock.upper();
+    this.lastFreshBeat = clock.upper();
   }
 
   void start() {
     crashes.start();
     quotas.start();
     departures.start();
-    state.watch(configuration::confirmed, pace::configurationMaxAgeMs, this::isStoreSilent);
+    state.watch(configuration::confirmed, timings::configurationMaxAgeMs, this::isStoreSilent);
     if (!settings.firstStart()) {
       firstLook.readOwners();
-      control.schedule(this::listIfUnaware, LIST_AFTER_MS);
+      control.schedule(this::listIfTargetsUnknown, FIRST_LISTING_DELAY_MS);
     }
-    repeat(this::onPace, pace::helloMs);
-    repeat(this::checkAge, () -> CHECK_MS);
-    repeat(this::askDeputies, () -> ASK_DEPUTIES_MS);
-    repeat(this::reportKeyWork, () -> pace.widened(KEY_WORK_MS));
-    repeat(this::reportTargetTimes, () -> pace.widened(TARGET_TIMES_MS));
+    repeat(this::onHelloDue, timings::helloIntervalMs);
+    repeat(this::checkAge, () -> AGE_CHECK_INTERVAL_MS);
+    repeat(this::queryDeputies, () -> DEPUTY_QUERY_INTERVAL_MS);
+    repeat(this::reportKeyLoad, () -> timings.scaledToFleet(KEY_LOAD_INTERVAL_MS));
+    repeat(this::reportTargetTimes, () -> timings.scaledToFleet(TARGET_TIMES_INTERVAL_MS));
   }
 
-  private void listIfUnaware() {
+  private void listIfTargetsUnknown() {
     if (state.targetsConfirmed().equals(UpperTime.NEVER)) {
       firstListingDueMs = Optional.of(clock.nowMs() + RegistryFollower.SILENT_AFTER_MS);
       firstLook.listTargets();
@@ -214,16 +214,16 @@
   }
 
   /** This gateway holds the term now, or no longer. */
-  void setDuties(Optional<TermCoordinator> now) {
-    heard = clock.upper();
+  void setCoordinator(Optional<TermCoordinator> now) {
+    holderHeard = clock.upper();
     followsHolder = false;
-    duties.ifPresent(inheritance::onLost);
-    duties = now;
+    coordinator.ifPresent(earlierLeases::onLost);
+    coordinator = now;
     if (now.isPresent()) {
       Optional<String> holderBefore = holderAddress;
       holderAddress = Optional.empty();
-      inheritance.onGained(now.get(), holderBefore);
-      ownLook.close();
+      earlierLeases.onGained(now.get(), holderBefore);
+      ownRegistryLook.close();
       crashes.onGained();
       quotas.onGained();
     } else {
@@ -234,10 +234,10 @@
   }
 
   void setHolder(String address) {
-    if (duties.isEmpty()) {
+    if (coordinator.isEmpty()) {
       holderAddress = Optional.of(address);
-      heard = clock.upper();
-      sayHello();
+      holderHeard = clock.upper();
+      sendHello();
     }
   }
 
@@ -247,14 +247,14 @@
     } else if (message instanceof FleetNews news) {
       onNews(news);
     } else if (message instanceof HolderEnded ended) {
-      inheritance.onHolderEnded(sender, ended);
+      earlierLeases.onHolderEnded(sender, ended);
     } else if (message instanceof LeasesLeft left) {
-      inheritance.onLeasesLeft(left);
+      earlierLeases.onLeasesLeft(left);
     } else if (message instanceof KeyLoadReport
         || message instanceof TargetTimesReport
         || message instanceof TargetReplaced
         || message instanceof TargetRestsReport) {
-      duties.ifPresent(d -> d.onReport(message));
+      coordinator.ifPresent(d -> d.onReport(message));
     } else if (message instanceof FleetBeat beat) {
       onBeat(sender, beat);
     } else if (message instanceof FollowerBeat beat) {
@@ -276,22 +276,22 @@
     }
   }
 
-  private void onPace() {
-    if (duties.isPresent()) {
-      inheritance.ask();
+  private void onHelloDue() {
+    if (coordinator.isPresent()) {
+      earlierLeases.requestLeases();
       crashes.onConfidants(Optional.empty(), subscribers.deputies());
       quotas.onConfidants(Optional.empty(), subscribers.deputies(), subscribers.count() + 1);
       departures.onConfidants(Optional.empty(), subscribers.deputies());
-      state.noteMoves(duties.get().termAgeMs() <= FRESH_MS, clock.nowMs());
-      subscribers.dropSilent(clock.nowMs(), pace.helloMs());
+      state.noteMoves(coordinator.get().termAgeMs() <= FRESH_BEAT_AGE_MS, clock.nowMs());
+      subscribers.removeSilent(clock.nowMs(), timings.helloIntervalMs());
       updateProcesses();
       return;
     }
-    sayHello();
-    askSeeds();
-    boolean silent = clock.upper().sinceMs(heard) > pace.silentMs();
-    if (silent && !ownLook.isOpen()) {
-      lookOneself();
+    sendHello();
+    querySeedPeers();
+    boolean silent = clock.upper().sinceMs(holderHeard) > timings.silenceTimeoutMs();
+    if (silent && !ownRegistryLook.isOpen()) {
+      followRegistryDirectly();
     }
   }
 
@@ -300,15 +300,15 @@
    * gone, or cut off, or a change that it told was lost.
    */
   private void checkAge() {
-    if (duties.isPresent()) {
-      state.confirmTargets(duties.get().targetsConfirmed());
+    if (coordinator.isPresent()) {
+      state.confirmTargets(coordinator.get().targetsConfirmed());
       return;
     }
-    ownLook.confirmTargets();
-    boolean unaware = state.targetsConfirmed().equals(UpperTime.NEVER);
-    boolean outdated = clock.upper().sinceMs(state.targetsConfirmed()) > OUTDATED_TARGETS_MS;
-    if (outdated && !unaware && !ownLook.isOpen()) {
-      lookOneself();
+    ownRegistryLook.confirmTargets();
+    boolean targetsUnknown = state.targetsConfirmed().equals(UpperTime.NEVER);
+    boolean outdated = clock.upper().sinceMs(state.targetsConfirmed()) > MAX_TARGETS_AGE_MS;
+    if (outdated && !targetsUnknown && !ownRegistryLook.isOpen()) {
+      followRegistryDirectly();
     }
   }
 
@@ -318,56 +318,59 @@
    * thread.
    */
   private boolean isStoreSilent() {
-    return isOwnWaySilent() && clock.upper().sinceMs(othersAnswered) > ANSWERED_LATELY_MS;
+    return isStoreSilentToThisGateway()
+        && clock.upper().sinceMs(storeAnsweredOthers) > RECENT_STORE_ANSWER_MS;
   }
 
-  private boolean isOwnWaySilent() {
-    Optional<TermCoordinator> held = duties;
+  private boolean isStoreSilentToThisGateway() {
+    Optional<TermCoordinator> held = coordinator;
     if (held.isPresent()) {
       return held.get().isStoreSilent();
     }
-    boolean unaware = state.targetsConfirmed().equals(UpperTime.NEVER);
-    return ownLook.isSilent()
-        || (unaware && firstListingDueMs.filter(due -> clock.nowMs() >= due).isPresent());
+    boolean targetsUnknown = state.targetsConfirmed().equals(UpperTime.NEVER);
+    return ownRegistryLook.isSilent()
+        || (targetsUnknown && firstListingDueMs.filter(due -> clock.nowMs() >= due).isPresent());
   }
 
   /** This host was suspended: the holder and its deputies are asked at once. */
   void onWoken() {
-    onPace();
-    askDeputies();
+    onHelloDue();
+    queryDeputies();
   }
 
   /** While nothing is known, some gateways of the fleet are asked; the store may be silent. */
-  private void askSeeds() {
+  private void querySeedPeers() {
     boolean lost = state.current().configuration().isEmpty() || holderAddress.isEmpty();
-    if (lost && clock.nowMs() - startedMs > ASK_SEEDS_AFTER_MS) {
+    if (lost && clock.nowMs() - startedMs > SEED_QUERY_DELAY_MS) {
       settings.seedPeers().forEach(address -> network.send(address, hello()));
     }
   }
 
   /** The holder has missed a beat, or the store does not answer it: others may know more. */
-  private void askDeputies() {
-    boolean overdue = clock.upper().sinceMs(freshBeat) > pace.helloMs() + BEAT_DELAY_MS;
-    if (duties.isEmpty() && overdue) {
+  private void queryDeputies() {
+    boolean overdue =
+        clock.upper().sinceMs(lastFreshBeat) > timings.helloIntervalMs() + MAX_BEAT_DELAY_MS;
+    if (coordinator.isEmpty() && overdue) {
       deputies.next().forEach(address -> network.send(address, hello()));
     }
   }
 
   private void onFollowerBeat(FollowerBeat beat) {
-    if (duties.isPresent()) {
+    if (coordinator.isPresent()) {
       return;
     }
-    UpperTime asked = new UpperTime(beat.helloSentMs());
-    noteOthersAnswered(asked, Math.min(beat.termAgeMs(), beat.configurationAgeMs()));
-    configuration.onHeard(beat.configurationRevision(), asked.minusMs(beat.configurationAgeMs()));
-    terms.onHeard(beat.term(), beat.holderAddress(), asked.minusMs(beat.termAgeMs()));
+    UpperTime helloSent = new UpperTime(beat.helloSentMs());
+    recordStoreAnsweredOthers(helloSent, Math.min(beat.termAgeMs(), beat.configurationAgeMs()));
+    configuration.onHeard(
+        beat.configurationRevision(), helloSent.minusMs(beat.configurationAgeMs()));
+    terms.onHeard(beat.term(), beat.holderAddress(), helloSent.minusMs(beat.termAgeMs()));
   }
 
-  private void noteOthersAnswered(UpperTime asked, long ageMs) {
-    othersAnswered = othersAnswered.latest(asked.minusMs(ageMs));
+  private void recordStoreAnsweredOthers(UpperTime helloSent, long ageMs) {
+    storeAnsweredOthers = storeAnsweredOthers.latest(helloSent.minusMs(ageMs));
   }
 
-  private void reportKeyWork() {
+  private void reportKeyLoad() {
     reports.takeKeyWork().forEach(this::report);
     reports.takeReplacedTargets().forEach(this::report);
     reportRests(reports.takeBegunRestsMs());
@@ -387,14 +390,14 @@
   }
 
   private void report(FleetMessage measured) {
-    if (duties.isPresent()) {
-      duties.get().onReport(measured);
+    if (coordinator.isPresent()) {
+      coordinator.get().onReport(measured);
     } else {
       holderAddress.ifPresent(address -> network.send(address, measured));
     }
   }
 
-  private void sayHello() {
+  private void sendHello() {
     holderAddress.ifPresent(address -> network.send(address, hello()));
   }
 
@@ -410,11 +413,11 @@
         departures.digest());
   }
 
-  private void lookOneself() {
+  private void followRegistryDirectly() {
     log.write("holder_silent", "holder={}", holderAddress.orElse("-"));
-    ownLook.open();
+    ownRegistryLook.open();
     followsHolder = false;
-    view.distrustTargets();
+    view.invalidateTargets();
   }
 
   /**
@@ -422,25 +425,26 @@
    * the hello.
    */
   private void onBeat(PeerChannel holder, FleetBeat beat) {
-    UpperTime asked = new UpperTime(beat.helloSentMs());
-    UpperTime confirmed = asked.minusMs(beat.termAgeMs());
-    if (duties.isPresent() || !terms.onHeard(beat.term(), holder.peerAddress(), confirmed)) {
+    UpperTime helloSent = new UpperTime(beat.helloSentMs());
+    UpperTime confirmed = helloSent.minusMs(beat.termAgeMs());
+    if (coordinator.isPresent() || !terms.onHeard(beat.term(), holder.peerAddress(), confirmed)) {
       return;
     }
     deputies.onNamed(beat.deputies());
     crashes.onConfidants(holderAddress, deputies.others());
     quotas.onConfidants(holderAddress, deputies.others(), Math.max(1, beat.processes()));
     departures.onConfidants(holderAddress, deputies.others());
-    state.noteMoves(beat.termAgeMs() <= FRESH_MS, clock.nowMs());
-    if (Math.max(beat.termAgeMs(), beat.configurationAgeMs()) <= FRESH_MS) {
-      freshBeat = clock.upper();
+    state.noteMoves(beat.termAgeMs() <= FRESH_BEAT_AGE_MS, clock.nowMs());
+    if (Math.max(beat.termAgeMs(), beat.configurationAgeMs()) <= FRESH_BEAT_AGE_MS) {
+      lastFreshBeat = clock.upper();
     }
     if (beat.registryAgeMs() <= STALE_REGISTRY_MS) {
-      heard = clock.upper();
+      holderHeard = clock.upper();
     }
-    noteOthersAnswered(asked, beat.registryAgeMs());
-    confirmTargets(beat, asked);
-    configuration.onHeard(beat.configurationRevision(), asked.minusMs(beat.configurationAgeMs()));
+    recordStoreAnsweredOthers(helloSent, beat.registryAgeMs());
+    confirmTargets(beat, helloSent);
+    configuration.onHeard(
+        beat.configurationRevision(), helloSent.minusMs(beat.configurationAgeMs()));
     if (state.current().processes() != beat.processes()) {
       state.update(snapshot -> snapshot.withProcesses(Math.max(1, beat.processes())));
     }
@@ -450,16 +454,16 @@
    * The holder's word confirms only the targets that it has told. A gateway that looks itself
    * follows the holder again once that knows nearly as much.
    */
-  private void confirmTargets(FleetBeat beat, UpperTime asked) {
-    TargetsPush told = view.targets();
-    boolean current = told.term() == beat.term() && told.version() >= beat.targetsVersion();
+  private void confirmTargets(FleetBeat beat, UpperTime helloSent) {
+    TargetsPush received = view.targets();
+    boolean current = received.term() == beat.term() && received.version() >= beat.targetsVersion();
     if (!current) {
       return;
     }
-    UpperTime confirmed = asked.minusMs(beat.registryAgeMs());
+    UpperTime confirmed = helloSent.minusMs(beat.registryAgeMs());
     if (!followsHolder && clock.upper().sinceMs(confirmed) <= FRESH_TARGETS_MS) {
       followsHolder = true;
-      ownLook.close();
+      ownRegistryLook.close();
       installTargets();
     }
     if (followsHolder) {
@@ -468,21 +472,21 @@
   }
 
   private void onTargetsPush(TargetsPush push) {
-    if (duties.isEmpty() && view.take(push) && followsHolder) {
+    if (coordinator.isEmpty() && view.apply(push) && followsHolder) {
       installTargets();
     }
   }
 
   private void onTargetsChange(TargetsChange change) {
-    if (duties.isPresent()) {
+    if (coordinator.isPresent()) {
       return;
     }
-    if (view.take(change)) {
+    if (view.apply(change)) {
       if (followsHolder) {
         installTargets();
       }
     } else if (change.version() > view.targets().version()) {
-      view.distrustTargets();
+      view.invalidateTargets();
     }
   }
 
@@ -492,13 +496,13 @@
   }
 
   private void onRoutesPush(RoutesPush push) {
-    if (duties.isEmpty() && view.take(push)) {
+    if (coordinator.isEmpty() && view.apply(push)) {
       installRoutes();
     }
   }
 
   private void onRoutesChange(RoutesChange change) {
-    if (duties.isEmpty() && view.take(change)) {
+    if (coordinator.isEmpty() && view.apply(change)) {
       installRoutes();
     }
   }
@@ -513,26 +517,26 @@
   }
 
   /** A process that starts while the store is silent learns here what it needs. */
-  private void tellNews(PeerChannel sender) {
+  private void sendSnapshot(PeerChannel sender) {
     StoreValue known = configuration.newest().orElse(new StoreValue(new byte[0], 0));
     sender.send(
         new FleetNews(
             known.revision(),
             known.value(),
-            duties.isPresent() ? network.localAddress() : holderAddress.orElse(""),
+            coordinator.isPresent() ? network.localAddress() : holderAddress.orElse(""),
             new TargetsPush(0, 0, List.copyOf(state.current().targets())),
             view.routes()));
   }
 
   /** Tells whether most of the other gateways have lately said hello to this one, the holder. */
-  boolean isFollowedByMost() {
-    return subscribers.mostHeardSince(clock.nowMs() - 2 * pace.helloMs());
+  boolean hasMajorityOfFollowers() {
+    return subscribers.majorityHeardSince(clock.nowMs() - 2 * timings.helloIntervalMs());
   }
 
   /** The configuration changed: whoever does not hear of it from the store looks again at once. */
-  void tellConfiguration(long revision) {
-    if (duties.isPresent()) {
-      subscribers.tell(new ConfigurationNews(revision, new byte[0]));
+  void announceConfiguration(long revision) {
+    if (coordinator.isPresent()) {
+      subscribers.sendToAll(new ConfigurationNews(revision, new byte[0]));
     }
   }
 
@@ -548,7 +552,7 @@
     if (news.configuration().length > 0) {
       configuration.onNews(new StoreValue(news.configuration(), news.configurationRevision()));
     }
-    if (duties.isEmpty() && holderAddress.isEmpty() && !news.holderAddress().isEmpty()) {
+    if (coordinator.isEmpty() && holderAddress.isEmpty() && !news.holderAddress().isEmpty()) {
       setHolder(news.holderAddress());
     }
     if (state.current().targets().isEmpty()) {
@@ -560,10 +564,10 @@
   private void onHello(PeerChannel sender, FleetHello hello) {
     boolean knowsNothing = hello.targetsTerm() == 0 && hello.routesTerm() == 0;
     if (knowsNothing || hello.configurationRevision() == 0) {
-      tellNews(sender);
+      sendSnapshot(sender);
     }
-    if (duties.isPresent()) {
-      answerAsHolder(sender, hello, duties.get());
+    if (coordinator.isPresent()) {
+      answerAsHolder(sender, hello, coordinator.get());
     } else {
       sender.send(
           new FollowerBeat(
@@ -608,18 +612,18 @@
 
   @Override
   public void onTargets(long term, long version, List<FleetTarget> targets) {
-    subscribers.tell(view.publishTargets(term, version, targets));
+    subscribers.sendToAll(view.publishTargets(term, version, targets));
   }
 
   @Override
   public void onRoutes(long term, long version, List<ServiceRanges> services) {
     FleetMessage news = view.publishRoutes(term, version, services);
     installRoutes();
-    subscribers.tell(news);
+    subscribers.sendToAll(news);
   }
 
   /** What the store says counts only until a holder says more. */
-  private final class FirstKnowledge implements FirstLook.Listener {
+  private final class FirstLookListener implements FirstLook.Listener {
 
     @Override
     public void onTargets(List<FleetTarget> targets, UpperTime asOf) {
@@ -636,7 +640,7 @@
 
     @Override
     public void onOwners(List<ServiceRanges> owners) {
-      if (view.takeStored(owners)) {
+      if (view.applyStored(owners)) {
         installRoutes();
       }
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetTimings.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetTimings.java
@@ -9,24 +9,24 @@
  */
 final class FleetTimings {
 
-  /** Pause between two hellos in a fleet of up to {@link #NARROW_FLEET} gateways. */
-  private static final long HELLO_MS = 300;
+  /** Pause between two hellos in a fleet of up to {@link #SMALL_FLEET} gateways. */
+  private static final long HELLO_INTERVAL_MS = 300;
 
   /**
    * The pause grows up to this. A wait at the store and the link to the holder that fall silent
    * together hide a change for less than 2 s then, whatever the width of the fleet ({@code
    * WaitBoundsTest}). The holder of 300 gateways hears 430 hellos a second.
    */
-  private static final long LONGEST_HELLO_MS = 700;
+  private static final long MAX_HELLO_INTERVAL_MS = 700;
 
   /** Below this size nothing is gained by speaking less. */
-  private static final int NARROW_FLEET = 40;
+  private static final int SMALL_FLEET = 40;
 
   /** Three hellos without an answer, and some. */
-  private static final double SILENT_HELLOS = 3.2;
+  private static final double SILENCE_TIMEOUT_HELLOS = 3.2;
 
   /** The holder's call of the store and its word on the way take no longer. */
-  private static final long ANSWER_MS = 150;
+  private static final long BEAT_DELAY_MS = 150;
 
   /** A configuration has to be in force within 2 s; less a request's way to its target. */
   private static final long CONFIGURATION_MAX_AGE_MS = 1_900;
@@ -36,7 +36,7 @@
    * before {@link #CONFIGURATION_MAX_AGE_MS}. The holder's own, and the longest pause between two
    * hellos, fit into it.
    */
-  private static final long LONGEST_CONFIRMED_MS = 1_400;
+  private static final long MAX_CONFIRMED_AGE_MS = 1_400;
 
   private final RoutingState state;
 
@@ -45,18 +45,18 @@
   }
 
   /** Returns a pause, longer in a wide fleet; milliseconds. */
-  long widened(long pauseMs) {
-    return pauseMs * Math.max(NARROW_FLEET, state.current().processes()) / NARROW_FLEET;
+  long scaledToFleet(long intervalMs) {
+    return intervalMs * Math.max(SMALL_FLEET, state.current().processes()) / SMALL_FLEET;
   }
 
   /** Returns the pause between two hellos; milliseconds. */
-  long helloMs() {
-    return Math.min(LONGEST_HELLO_MS, widened(HELLO_MS));
+  long helloIntervalMs() {
+    return Math.min(MAX_HELLO_INTERVAL_MS, scaledToFleet(HELLO_INTERVAL_MS));
   }
 
   /** Returns after how long without a word the holder passes for silent; milliseconds. */
-  long silentMs() {
-    return (long) (helloMs() * SILENT_HELLOS);
+  long silenceTimeoutMs() {
+    return (long) (helloIntervalMs() * SILENCE_TIMEOUT_HELLOS);
   }
 
   /**
@@ -67,7 +67,7 @@
    * a change by less than the 2 s in which a configuration has to be in force.
    */
   long confirmedMs() {
-    return Math.min(LONGEST_CONFIRMED_MS, silentMs() + ANSWER_MS);
+    return Math.min(MAX_CONFIRMED_AGE_MS, silenceTimeoutMs() + BEAT_DELAY_MS);
   }
 
   /**
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetView.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetView.java
@@ -71,19 +71,20 @@
   FleetMessage publishTargets(long term, long version, List<FleetTarget> now) {
     TargetsPush before = targets;
     targets = new TargetsPush(term, version, now);
-    noteNewest();
+    recordNewest();
     if (before.term() != term) {
       return targets;
     }
-    Map<TargetId, FleetTarget> gone = byId(before.targets());
+    Map<TargetId, FleetTarget> removed = byId(before.targets());
     List<FleetTarget> written = new ArrayList<>();
     for (FleetTarget target : now) {
-      FleetTarget known = gone.remove(target.id());
+      FleetTarget known = removed.remove(target.id());
       if (!target.routesLike(known)) {
         written.add(target);
       }
     }
-    return new TargetsChange(term, before.version(), version, written, List.copyOf(gone.keySet()));
+    return new TargetsChange(
+        term, before.version(), version, written, List.copyOf(removed.keySet()));
   }
 
   /** Notes what this process, as the holder, decided now. Returns what the others have to hear. */
@@ -106,43 +107,43 @@
   }
 
   /** The holder has fallen silent: what it told of the targets has to be told again. */
-  void distrustTargets() {
+  void invalidateTargets() {
     targets = new TargetsPush(0, 0, targets.targets());
   }
 
   /** Takes the owners as the store has them, unless a holder told more. Tells whether it did. */
-  boolean takeStored(List<ServiceRanges> owners) {
-    boolean unaware = routes.term() == 0 && routes.services().isEmpty();
-    if (unaware) {
+  boolean applyStored(List<ServiceRanges> owners) {
+    boolean unknown = routes.term() == 0 && routes.services().isEmpty();
+    if (unknown) {
       routes = new RoutesPush(0, 0, owners);
     }
-    return unaware;
+    return unknown;
   }
 
   /** Takes all targets. Tells whether they are news: those of an earlier term are not. */
-  boolean take(TargetsPush push) {
+  boolean apply(TargetsPush push) {
     long term = Math.max(routes.term(), newestTerm);
     boolean later = push.term() > newestTerm || push.version() >= newestVersion;
-    boolean news = push.term() >= term && later;
-    if (news) {
+    boolean newer = push.term() >= term && later;
+    if (newer) {
       targets = push;
-      noteNewest();
+      recordNewest();
     }
-    return news;
+    return newer;
   }
 
   /** Takes all owners. Tells whether they are news. */
-  boolean take(RoutesPush push) {
+  boolean apply(RoutesPush push) {
     boolean sameTerm = push.term() == routes.term();
-    boolean news = push.term() > routes.term() || (sameTerm && push.version() > routes.version());
-    if (news) {
+    boolean newer = push.term() > routes.term() || (sameTerm && push.version() > routes.version());
+    if (newer) {
       routes = push;
     }
-    return news;
+    return newer;
   }
 
   /** Patches the targets. Tells whether it could: a change before this one may be missing. */
-  boolean take(TargetsChange change) {
+  boolean apply(TargetsChange change) {
     boolean fits = change.term() == targets.term() && change.fromVersion() == targets.version();
     if (!fits) {
       return false;
@@ -151,12 +152,12 @@
     change.removed().forEach(patched::remove);
     change.written().forEach(target -> patched.put(target.id(), target));
     targets = new TargetsPush(change.term(), change.version(), List.copyOf(patched.values()));
-    noteNewest();
+    recordNewest();
     return true;
   }
 
   /** Patches the owners. Tells whether it could: a change before this one may be missing. */
-  boolean take(RoutesChange change) {
+  boolean apply(RoutesChange change) {
     boolean fits = change.term() == routes.term() && change.fromVersion() == routes.version();
     if (!fits) {
       return false;
@@ -172,7 +173,7 @@
     return true;
   }
 
-  private void noteNewest() {
+  private void recordNewest() {
     newestTerm = targets.term();
     newestVersion = targets.version();
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
@@ -13,7 +13,7 @@
   /** An order that took longer to begin is decided on anew. */
   static final long DECISION_MAX_AGE_MS = 400;
 
-  private final HolderState knowledge;
+  private final HolderState state;
   private final BooleanSupplier holdsTerm;
   private final TargetId target;
   private final UpperTime decided;
@@ -21,13 +21,13 @@
   /**
    * Creates the facts of one order.
    *
-   * @param knowledge what the holder knows; not null
+   * @param state what the holder knows; not null
    * @param holdsTerm whether this process still holds the term; not null
    * @param target whom the order is for; not null
    * @param decided when it was decided on; not null
    */
-  OrderFacts(HolderState knowledge, BooleanSupplier holdsTerm, TargetId target, UpperTime decided) {
-    this.knowledge = knowledge;
+  OrderFacts(HolderState state, BooleanSupplier holdsTerm, TargetId target, UpperTime decided) {
+    this.state = state;
     this.holdsTerm = holdsTerm;
     this.target = target;
     this.decided = decided;
@@ -37,10 +37,9 @@
   public SendFact of(SendCondition condition, UpperTime now) {
     return switch (condition) {
       case TERM_HELD ->
-          SendFact.heard(
-              holdsTerm.getAsBoolean(), knowledge.termConfirmed(), knowledge.termMaxAgeMs());
+          SendFact.heard(holdsTerm.getAsBoolean(), state.termConfirmed(), state.termMaxAgeMs());
       case DECISION_RECENT -> SendFact.heard(true, decided, DECISION_MAX_AGE_MS);
-      case TARGET_RUNS -> SendFact.local(!knowledge.hasEnded(target), now);
+      case TARGET_RUNS -> SendFact.local(!state.hasEnded(target), now);
       default -> throw new IllegalArgumentException("no condition of an order: " + condition);
     };
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
@@ -33,12 +33,12 @@
 
   private final LeaseControl leases;
   private final SendGate gate;
-  private final HolderState knowledge;
+  private final HolderState state;
   private final ControlThread control;
   private final MillisClock clock;
   private final DecisionLog log;
   private final Function<TargetId, Optional<String>> addresses;
-  private final Consumer<TargetId> onOtherTarget;
+  private final Consumer<TargetId> onTargetReplaced;
   private final Consumer<TargetId> onLeaving;
   private final Runnable onAnswered;
   private final Map<TargetId, Integer> inFlight = new HashMap<>();
@@ -47,22 +47,22 @@
 
   OrderSender(
       LeaseControl leases,
-      HolderState knowledge,
+      HolderState state,
       ControlThread control,
       MillisClock clock,
       DecisionLog log,
       Function<TargetId, Optional<String>> addresses,
-      Consumer<TargetId> onOtherTarget,
+      Consumer<TargetId> onTargetReplaced,
       Consumer<TargetId> onLeaving,
       Runnable onAnswered) {
     this.leases = leases;
     this.gate = new SendGate(clock);
-    this.knowledge = knowledge;
+    this.state = state;
     this.control = control;
     this.clock = clock;
     this.log = log;
     this.addresses = addresses;
-    this.onOtherTarget = onOtherTarget;
+    this.onTargetReplaced = onTargetReplaced;
     this.onLeaving = onLeaving;
     this.onAnswered = onAnswered;
   }
@@ -72,7 +72,7 @@
   }
 
   /** Takes a place for one more order, unless a target has enough to do, or all have. */
-  boolean mayAsk(TargetId target) {
+  boolean tryReserve(TargetId target) {
     int toTarget = inFlight.getOrDefault(target, 0);
     if (toTarget >= MAX_PER_TARGET || totalInFlight >= MAX_IN_FLIGHT) {
       return false;
@@ -88,7 +88,7 @@
     Optional<String> address = addresses.apply(order.target());
     CompletableFuture<OrderReply> reply =
         address
-            .map(known -> call(known, order, () -> mayBegin(order, decided)))
+            .map(known -> dispatch(known, order, () -> maySend(order, decided)))
             .orElseGet(
                 () ->
                     CompletableFuture.completedFuture(
@@ -96,17 +96,17 @@
     reply.thenAcceptAsync(answer -> onReply(desk, order, answer, sentMs), control);
   }
 
-  private CompletableFuture<OrderReply> call(
-      String address, LeaseOrder order, BooleanSupplier mayBegin) {
+  private CompletableFuture<OrderReply> dispatch(
+      String address, LeaseOrder order, BooleanSupplier maySend) {
     if (order instanceof LeaseOrder.Grant grant) {
-      return leases.grant(address, grant, mayBegin);
+      return leases.grant(address, grant, maySend);
     }
-    return leases.release(address, (LeaseOrder.Release) order, mayBegin);
+    return leases.release(address, (LeaseOrder.Release) order, maySend);
   }
 
   /** Called on a thread of the client, once there is a connection. */
-  private boolean mayBegin(LeaseOrder order, UpperTime decided) {
-    SendFacts facts = new OrderFacts(knowledge, () -> !closed, order.target(), decided);
+  private boolean maySend(LeaseOrder order, UpperTime decided) {
+    SendFacts facts = new OrderFacts(state, () -> !closed, order.target(), decided);
     SendKind kind = order instanceof LeaseOrder.Grant ? SendKind.GRANT : SendKind.RELEASE;
     Optional<SendObstacle> obstacle = gate.check(kind, facts);
     obstacle.ifPresent(
@@ -134,7 +134,7 @@
       desk.onReleaseEnded(release, reply.outcome(), reply.handover(), nowMs);
     }
     if (reply.outcome() == OrderOutcome.OTHER_TARGET) {
-      onOtherTarget.accept(order.target());
+      onTargetReplaced.accept(order.target());
     } else if (reply.leaving()) {
       onLeaving.accept(order.target());
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OwnershipStore.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OwnershipStore.java
@@ -98,22 +98,22 @@
    *
    * @param addressOf finds the address of a target that they name
    * @param onDone called once they are durable
-   * @param onOvertaken called with what is stored instead, if somebody else wrote
+   * @param onConflict called with what is stored instead, if somebody else wrote
    */
   void write(
       List<OwnershipTable> tables,
       Function<TargetId, Optional<String>> addressOf,
       Runnable onDone,
-      Consumer<Optional<OwnershipRecord>> onOvertaken) {
+      Consumer<Optional<OwnershipRecord>> onConflict) {
     writing = true;
     byte[] bytes = codec.encode(OwnershipRecord.of(term, tables, addressOf, store.epoch()));
     store
         .write(KEY, bytes, revision, Optional.empty())
-        .thenAcceptAsync(result -> onWritten(result, onDone, onOvertaken), control);
+        .thenAcceptAsync(result -> onWritten(result, onDone, onConflict), control);
   }
 
   private void onWritten(
-      WriteResult result, Runnable onDone, Consumer<Optional<OwnershipRecord>> onOvertaken) {
+      WriteResult result, Runnable onDone, Consumer<Optional<OwnershipRecord>> onConflict) {
     if (closed) {
       return;
     }
@@ -126,7 +126,7 @@
       control.schedule(() -> writing = false, RETRY_MS);
     } else {
       log.write("owners_write_unclear", "outcome={}", result.outcome());
-      read(found -> onReadBack(found, onOvertaken));
+      read(found -> onReadBack(found, onConflict));
     }
   }
 
@@ -138,17 +138,17 @@
    * holder itself knows better, and writes again.
    */
   private void onReadBack(
-      Optional<OwnershipRecord> found, Consumer<Optional<OwnershipRecord>> onOvertaken) {
+      Optional<OwnershipRecord> found, Consumer<Optional<OwnershipRecord>> onConflict) {
     long writer = found.map(OwnershipRecord::term).orElse(0L);
     if (writer > term) {
       close();
-      onOvertaken.accept(found);
+      onConflict.accept(found);
       return;
     }
     writing = false;
     hasWritten |= writer == term;
     if (!hasWritten) {
-      onOvertaken.accept(found);
+      onConflict.accept(found);
     }
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerMessenger.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerMessenger.java
@@ -16,7 +16,7 @@
 
   @Override
   public void sendToFollowers(FleetMessage message) {
-    subscribers.tell(message);
+    subscribers.sendToAll(message);
   }
 
   @Override
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RateLimitCapacity.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RateLimitCapacity.java
@@ -16,10 +16,10 @@
 final class RateLimitCapacity {
 
   /** A target with a limit near 0 still is some target. */
-  private static final double LEAST_SLOTS = 0.01;
+  private static final double MIN_SLOTS = 0.01;
 
   /** Weight of the newest report, for each request in it. */
-  private static final double NEWEST = 0.01;
+  private static final double WEIGHT_PER_REQUEST = 0.01;
 
   private static final double MS_PER_S = 1_000;
 
@@ -36,7 +36,7 @@
       return;
     }
     double reportedMs = (double) Arrays.stream(workMs).asLongStream().sum() / requests;
-    double weight = meanWorkMs == 0 ? 1 : 1 - Math.pow(1 - NEWEST, requests);
+    double weight = meanWorkMs == 0 ? 1 : 1 - Math.pow(1 - WEIGHT_PER_REQUEST, requests);
     meanWorkMs += weight * (reportedMs - meanWorkMs);
   }
 
@@ -47,6 +47,6 @@
       return target.slots();
     }
     double busySlots = perS.getAsDouble() * meanWorkMs / MS_PER_S;
-    return Math.min(target.slots(), Math.max(LEAST_SLOTS, busySlots));
+    return Math.min(target.slots(), Math.max(MIN_SLOTS, busySlots));
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
@@ -15,25 +15,25 @@
 final class RestingTargets {
 
   /** A rest that is over sooner costs callers less than moving the keys. */
-  private static final long SHORT_REST_MS = 500;
+  private static final long MIN_REST_MS = 500;
 
   /** A target that has turned so many gateways away turns the others away, too. */
-  private static final int ENOUGH_GATEWAYS = 3;
+  private static final int RESTING_QUORUM = 3;
 
   private final MillisClock clock;
-  private final IntSupplier gateways;
+  private final IntSupplier gatewayCount;
   private final Map<TargetId, Map<String, Long>> endsMs = new HashMap<>();
 
-  RestingTargets(MillisClock clock, IntSupplier gateways) {
+  RestingTargets(MillisClock clock, IntSupplier gatewayCount) {
     this.clock = clock;
-    this.gateways = gateways;
+    this.gatewayCount = gatewayCount;
   }
 
   /** A gateway leaves targets alone. */
   void onReport(TargetRestsReport report) {
-    dropOver();
+    removeExpired();
     for (TargetRest rest : report.rests()) {
-      if (rest.leftMs() > SHORT_REST_MS) {
+      if (rest.leftMs() > MIN_REST_MS) {
         endsMs
             .computeIfAbsent(rest.target(), id -> new HashMap<>())
             .put(report.process(), clock.nowMs() + rest.leftMs());
@@ -49,10 +49,10 @@
     }
     long nowMs = clock.nowMs();
     long resting = ends.values().stream().filter(endMs -> endMs > nowMs).count();
-    return resting >= ENOUGH_GATEWAYS || 2 * resting >= gateways.getAsInt();
+    return resting >= RESTING_QUORUM || 2 * resting >= gatewayCount.getAsInt();
   }
 
-  private void dropOver() {
+  private void removeExpired() {
     long nowMs = clock.nowMs();
     endsMs.values().forEach(ends -> ends.values().removeIf(endMs -> endMs <= nowMs));
     endsMs.values().removeIf(Map::isEmpty);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
@@ -43,25 +43,25 @@
   private static final long SETTLE_MS = 2_000;
 
   /** It waits no longer than this; without it nothing is served. */
-  private static final long LONGEST_SETTLE_MS = 6_000;
+  private static final long MAX_SETTLE_MS = 6_000;
 
   /** Pause between two looks at the load. */
-  private static final long BALANCE_MS = 250;
+  private static final long BALANCE_INTERVAL_MS = 250;
 
   /** Pause between two looks for fragments, and so the least time that one is left alone. */
-  private static final long TIDY_MS = 500;
+  private static final long TIDY_INTERVAL_MS = 500;
 
   /** A measurement counts for about this long: hot keys come and go within seconds. */
-  private static final double LOAD_MEMORY_MS = 2_000;
+  private static final double LOAD_TIME_CONSTANT_MS = 2_000;
 
   /** Share of busy slots from which on requests often wait in a target's queue. */
   private static final double BUSY_SHARE = 0.7;
 
   /** Into how many parts the keys of a target that leaves are cut at most. */
-  private static final int SPREAD = 4;
+  private static final int MAX_PARTS = 4;
 
   /** Narrower ranges with less load are given away whole: each part is a lease. */
-  private static final int WIDE_KEYS = 1_024;
+  private static final int WIDE_RANGE_KEYS = 1_024;
 
   private static final double HEAVY_LOAD = 0.4;
 
@@ -73,11 +73,11 @@
   private final DecisionLog log;
   private final KeyLoads loads;
   private final TargetSpeeds speeds = new TargetSpeeds();
-  private final Predicate<TargetId> resting;
+  private final Predicate<TargetId> isResting;
   private final RateLimitCapacity capacity;
-  private final Set<TargetId> busy = new HashSet<>();
+  private final Set<TargetId> busyTargets = new HashSet<>();
   private final RangeTidier tidier = new RangeTidier();
-  private final OverloadPolicy overload = new OverloadPolicy();
+  private final OverloadPolicy overloadPolicy = new OverloadPolicy();
   private final MovePlanner planner =
       new MovePlanner(new HotKeyPlacement(), new RangeBalancer(BalancerSettings.DEFAULT));
   private final long startedMs;
@@ -93,13 +93,13 @@
       LeaseDesk desk,
       DecisionLog log,
       Function<TargetId, OptionalDouble> limits,
-      Predicate<TargetId> resting,
+      Predicate<TargetId> isResting,
       long nowMs) {
     this.service = service;
     this.desk = desk;
     this.log = log;
-    this.loads = new KeyLoads(LOAD_MEMORY_MS, nowMs);
-    this.resting = resting;
+    this.loads = new KeyLoads(LOAD_TIME_CONSTANT_MS, nowMs);
+    this.isResting = isResting;
     this.capacity = new RateLimitCapacity(limits);
     this.startedMs = nowMs;
     this.targetsChangedMs = nowMs;
@@ -122,7 +122,7 @@
     return desk.routes(range -> refusedPercent.getOrDefault(range, 0));
   }
 
-  void onKeyWork(KeyLoadReport report) {
+  void onKeyLoad(KeyLoadReport report) {
     capacity.onWork(report.workMs(), report.requests());
     int count = Math.min(report.keys().length, report.workMs().length);
     for (int i = 0; i < count; i++) {
@@ -135,7 +135,7 @@
 
   /** A busy target's times tell more of its queue than of its speed. */
   void onTargetTime(TargetTime time) {
-    if (!busy.contains(time.target())) {
+    if (!busyTargets.contains(time.target())) {
       speeds.onAnswers(time.target(), time.meanRelativeTime(), time.answers());
     }
   }
@@ -163,7 +163,7 @@
     }
     List<FleetTarget> usable = storeAnswers ? withoutResting(ready) : ready;
     evacuate(usable, nowMs);
-    if (nowMs - balancedMs >= BALANCE_MS) {
+    if (nowMs - balancedMs >= BALANCE_INTERVAL_MS) {
       balancedMs = nowMs;
       loads.decay(nowMs);
       desk.joinNeighbours(nowMs);
@@ -178,8 +178,8 @@
   /** In a narrow fleet each gateway's own limit protects the targets, and needs no report. */
   private void refuseExcess(List<TargetLoad> targets, int gateways) {
     int mostSlots = targets.stream().mapToInt(TargetLoad::slots).max().orElse(0);
-    boolean wide = gateways > mostSlots * QUEUED_PER_SLOT;
-    Map<KeyRange, Integer> next = wide ? overload.refusedPercent(targets, loads) : Map.of();
+    boolean large = gateways > mostSlots * QUEUED_PER_SLOT;
+    Map<KeyRange, Integer> next = large ? overloadPolicy.refusedPercent(targets, loads) : Map.of();
     if (!next.equals(refusedPercent)) {
       refusedPercent = next;
       refusalsChanged = true;
@@ -188,7 +188,7 @@
 
   private void partition(List<FleetTarget> ready, long nowMs) {
     boolean settled = nowMs - targetsChangedMs >= SETTLE_MS;
-    if (settled || nowMs - startedMs >= LONGEST_SETTLE_MS) {
+    if (settled || nowMs - startedMs >= MAX_SETTLE_MS) {
       desk.partition(ready);
       log.write("keys_partitioned", "service={} targets={}", service, ready.size());
     }
@@ -200,7 +200,7 @@
    */
   private List<FleetTarget> withoutResting(List<FleetTarget> ready) {
     List<FleetTarget> reachable =
-        ready.stream().filter(target -> !resting.test(target.id())).toList();
+        ready.stream().filter(target -> !isResting.test(target.id())).toList();
     return 2 * reachable.size() >= ready.size() ? reachable : ready;
   }
 
@@ -208,16 +208,16 @@
   private void evacuate(List<FleetTarget> ready, long nowMs) {
     Set<TargetId> usable = new HashSet<>();
     ready.forEach(target -> usable.add(target.id()));
-    List<KeyRange> homeless = desk.rangesOfOthers(usable::contains);
-    if (homeless.isEmpty()) {
+    List<KeyRange> orphaned = desk.rangesOfOthers(usable::contains);
+    if (orphaned.isEmpty()) {
       return;
     }
     List<TargetLoad> targets = targetLoads(ready, nowMs);
     Map<TargetId, Double> loadByTarget = new HashMap<>();
     targets.forEach(target -> loadByTarget.put(target.id(), target.busySlots(loads)));
-    for (KeyRange range : homeless) {
+    for (KeyRange range : orphaned) {
       for (KeyRange part : parts(range, ready.size())) {
-        TargetId least = leastBusyWith(loads.of(part), targets, loadByTarget);
+        TargetId least = leastLoadedWith(loads.of(part), targets, loadByTarget);
         desk.move(part, least, nowMs);
         loadByTarget.merge(least, loads.of(part), Double::sum);
         log.write("keys_evacuated", "service={} keys={} to={}", service, part, least);
@@ -225,7 +225,7 @@
     }
   }
 
-  private static TargetId leastBusyWith(
+  private static TargetId leastLoadedWith(
       double added, List<TargetLoad> targets, Map<TargetId, Double> loads) {
     return targets.stream()
         .min(
@@ -236,8 +236,8 @@
   }
 
   private List<KeyRange> parts(KeyRange range, int targets) {
-    boolean wide = range.size() >= WIDE_KEYS || loads.of(range) > HEAVY_LOAD;
-    int count = wide ? Math.min(Math.min(SPREAD, targets), range.size()) : 1;
+    boolean large = range.size() >= WIDE_RANGE_KEYS || loads.of(range) > HEAVY_LOAD;
+    int count = large ? Math.min(Math.min(MAX_PARTS, targets), range.size()) : 1;
     double share = loads.of(range) / count;
     List<KeyRange> parts = new ArrayList<>();
     int first = range.first();
@@ -255,9 +255,9 @@
   }
 
   private void balance(List<TargetLoad> targets, long nowMs) {
-    noteBusyTargets(targets);
+    updateBusyTargets(targets);
     List<RangeMove> moves = planner.plan(targets, loads, speeds);
-    if (moves.isEmpty() && nowMs - tidiedMs >= TIDY_MS) {
+    if (moves.isEmpty() && nowMs - tidiedMs >= TIDY_INTERVAL_MS) {
       tidiedMs = nowMs;
       moves = tidier.plan(targets, loads, MovePlanner.mostMoves(targets.size()));
     }
@@ -274,11 +274,11 @@
     }
   }
 
-  private void noteBusyTargets(List<TargetLoad> targets) {
-    busy.clear();
+  private void updateBusyTargets(List<TargetLoad> targets) {
+    busyTargets.clear();
     for (TargetLoad target : targets) {
       if (target.busySlots(loads) > BUSY_SHARE * target.slots()) {
-        busy.add(target.id());
+        busyTargets.add(target.id());
       }
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
@@ -20,11 +20,11 @@
 final class Subscribers {
 
   /** After this many pauses between two hellos without one a gateway no longer counts. */
-  private static final int GONE_HELLOS = 7;
+  private static final int SILENCE_TIMEOUT_HELLOS = 7;
 
   private final Map<String, Subscriber> byProcess = new HashMap<>();
   private List<String> deputies = List.of();
-  private int mostAtOnce;
+  private int peakCount;
 
   /**
    * Takes a hello. Sends what the sender lacks of what was decided in a term.
@@ -44,28 +44,32 @@
       chooseDeputies();
     }
     subscriber.heardMs = nowMs;
-    mostAtOnce = Math.max(mostAtOnce, byProcess.size());
+    peakCount = Math.max(peakCount, byProcess.size());
     boolean lacksTargets =
-        fresh || hello.targetsTerm() != term || hello.targetsVersion() < subscriber.targetsDue;
+        fresh
+            || hello.targetsTerm() != term
+            || hello.targetsVersion() < subscriber.expectedTargetsVersion;
     if (lacksTargets && view.targets().term() == term) {
       sender.send(view.targets());
     }
     boolean lacksRoutes =
-        fresh || hello.routesTerm() != term || hello.routesVersion() < subscriber.routesDue;
+        fresh
+            || hello.routesTerm() != term
+            || hello.routesVersion() < subscriber.expectedRoutesVersion;
     if (lacksRoutes && view.routes().term() == term) {
       sender.send(view.routes());
     }
-    subscriber.targetsDue = view.targets().version();
-    subscriber.routesDue = view.routes().version();
+    subscriber.expectedTargetsVersion = view.targets().version();
+    subscriber.expectedRoutesVersion = view.routes().version();
   }
 
-  void tell(FleetMessage message) {
+  void sendToAll(FleetMessage message) {
     byProcess.values().forEach(subscriber -> subscriber.channel.send(message));
   }
 
-  void dropSilent(long nowMs, long helloMs) {
-    long goneMs = GONE_HELLOS * helloMs;
-    if (byProcess.values().removeIf(subscriber -> nowMs - subscriber.heardMs > goneMs)) {
+  void removeSilent(long nowMs, long helloIntervalMs) {
+    long timeoutMs = SILENCE_TIMEOUT_HELLOS * helloIntervalMs;
+    if (byProcess.values().removeIf(subscriber -> nowMs - subscriber.heardMs > timeoutMs)) {
       chooseDeputies();
     }
   }
@@ -82,9 +86,9 @@
   }
 
   /** Tells whether at least half of all that ever followed have said hello since a time. */
-  boolean mostHeardSince(long atMs) {
+  boolean majorityHeardSince(long atMs) {
     long heard = byProcess.values().stream().filter(known -> known.heardMs >= atMs).count();
-    return 2 * heard >= mostAtOnce;
+    return 2 * heard >= peakCount;
   }
 
   int count() {
@@ -93,7 +97,7 @@
 
   void clear() {
     byProcess.clear();
-    mostAtOnce = 0;
+    peakCount = 0;
     deputies = List.of();
   }
 
@@ -103,8 +107,8 @@
     private final PeerChannel channel;
     private final DeputyChoice.Candidate candidate;
     private long heardMs;
-    private long targetsDue;
-    private long routesDue;
+    private long expectedTargetsVersion;
+    private long expectedRoutesVersion;
 
     Subscriber(PeerChannel channel, FleetHello hello) {
       this.channel = channel;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
@@ -52,7 +52,7 @@
 final class TermCoordinator {
 
   /** Tells the gateways of the fleet. */
-  interface Audience {
+  interface Listener {
 
     /** The targets changed. */
     void onTargets(long term, long version, List<FleetTarget> targets);
@@ -61,7 +61,7 @@
     void onRoutes(long term, long version, List<ServiceRanges> services);
   }
 
-  private static final long TICK_MS = 50;
+  private static final long CYCLE_MS = 50;
 
   /**
    * Room for tokens within one term: each grant takes one, at most 200 a second, which lasts for 23
@@ -69,15 +69,15 @@
    */
   private static final int TOKEN_BITS = 24;
 
-  private static final long MOST_TOKENS = (1L << TOKEN_BITS) - 1_000_000;
+  private static final long MAX_TOKENS = (1L << TOKEN_BITS) - 1_000_000;
 
   /**
    * Pause between two changes of owners that are told, for each gateway: each gets its own copy.
    */
-  private static final double TELL_MS_PER_GATEWAY = 0.5;
+  private static final double PUBLISH_MS_PER_GATEWAY = 0.5;
 
   /** A record of proofs may wait this long for a write that is needed anyway. */
-  private static final long CLEANUP_MS = 2_000;
+  private static final long CLEANUP_DELAY_MS = 2_000;
 
   private final GatewayPorts ports;
   private final RoutingState state;
@@ -87,35 +87,35 @@
   private final LeaseTimings timings;
   private final long term;
   private final TermLease termLease;
-  private final Audience audience;
-  private final boolean storeCameBack;
+  private final Listener listener;
+  private final boolean storeRestored;
   private final Function<TargetId, OptionalDouble> limits;
-  private final RestingTargets resting;
+  private final RestingTargets restingTargets;
   private final RegistryFollower follower;
   private final OwnershipStore ownership;
   private final OrderSender sender;
   private final long startedMs;
-  private final Map<ServiceId, ServicePlanner> duties = new LinkedHashMap<>();
+  private final Map<ServiceId, ServicePlanner> planners = new LinkedHashMap<>();
   private final Map<TargetId, String> lastAddresses = new HashMap<>();
   private final Map<TargetId, Long> firstSeen = new HashMap<>();
   private final Set<TargetId> ended = ConcurrentHashMap.newKeySet();
   private long listings;
   private Map<ServiceId, OwnershipTable> stored = Map.of();
   private long storedTerm;
-  private boolean storedMayBeOld;
+  private boolean storedMayBeStale;
   private long idleUntilMs = Long.MIN_VALUE;
   private Optional<Runnable> onRewritten = Optional.empty();
   private Optional<LeasesLeft> foreignLeases = Optional.empty();
-  private long foreignToldMs;
+  private long foreignLeasesAtMs;
   private boolean ready;
   private long tokenCount;
   private long routesVersion;
-  private long routesToldMs;
-  private boolean tellPending;
-  private boolean actPending;
+  private long routesPublishedMs;
+  private boolean publishPending;
+  private boolean cyclePending;
   private long cleanupSinceMs;
   private Optional<UpperTime> staleSince = Optional.empty();
-  private Future<?> ticking;
+  private Future<?> cycleTimer;
 
   TermCoordinator(
       GatewayPorts ports,
@@ -127,8 +127,8 @@
       LeaseTimings timings,
       long term,
       TermLease termLease,
-      Audience audience,
-      boolean storeCameBack,
+      Listener listener,
+      boolean storeRestored,
       Function<TargetId, OptionalDouble> limits,
       Consumer<TargetId> onLeaving) {
     this.ports = ports;
@@ -139,10 +139,10 @@
     this.timings = timings;
     this.term = term;
     this.termLease = termLease;
-    this.audience = audience;
-    this.storeCameBack = storeCameBack;
+    this.listener = listener;
+    this.storeRestored = storeRestored;
     this.limits = limits;
-    this.resting = new RestingTargets(clock, () -> state.current().processes());
+    this.restingTargets = new RestingTargets(clock, () -> state.current().processes());
     this.startedMs = clock.nowMs();
     this.follower =
         new RegistryFollower(
@@ -157,28 +157,28 @@
     this.sender =
         new OrderSender(
             ports.leases(),
-            new Knowledge(),
+            new CurrentState(),
             control,
             clock,
             log,
             this::lastAddressOf,
             this::onReplacedTarget,
             onLeaving,
-            this::actSoon);
+            this::scheduleCycle);
   }
 
   void start() {
     state.current().targets().forEach(t -> lastAddresses.put(t.id(), t.address()));
     follower.start();
     ownership.read(this::onOwnership);
-    ticking = control.scheduleRepeatedly(this::act, TICK_MS);
+    cycleTimer = control.scheduleRepeatedly(this::runCycle, CYCLE_MS);
   }
 
   void close() {
     follower.close();
     ownership.close();
     sender.close();
-    ticking.cancel(false);
+    cycleTimer.cancel(false);
   }
 
   long term() {
@@ -200,17 +200,17 @@
   }
 
   void onReport(PeerMessage report) {
-    if (report instanceof KeyLoadReport work) {
-      ServicePlanner service = duties.get(work.service());
+    if (report instanceof KeyLoadReport load) {
+      ServicePlanner service = planners.get(load.service());
       if (service != null) {
-        service.onKeyWork(work);
+        service.onKeyLoad(load);
       }
     } else if (report instanceof TargetTimesReport times) {
       times.times().forEach(this::onTargetTime);
     } else if (report instanceof TargetReplaced replaced) {
       onReplacedTarget(replaced.target());
     } else if (report instanceof TargetRestsReport rests) {
-      resting.onReport(rests);
+      restingTargets.onReport(rests);
     }
   }
 
@@ -220,7 +220,7 @@
    */
   private void onReplacedTarget(TargetId id) {
     if (!ended.contains(id)) {
-      onReplaced(id);
+      markReplaced(id);
       onTargets();
     }
   }
@@ -229,7 +229,7 @@
   List<LeaseLeft> leasesLeft() {
     List<LeaseLeft> result = new ArrayList<>();
     long nowMs = clock.nowMs();
-    duties.values().forEach(service -> result.addAll(service.desk().leasesLeft(nowMs)));
+    planners.values().forEach(service -> result.addAll(service.desk().leasesLeft(nowMs)));
     return result;
   }
 
@@ -238,31 +238,31 @@
    *
    * @return whether it is the one that wrote last, as far as is known yet
    */
-  boolean onLeasesLeft(LeasesLeft left, long toldMs) {
+  boolean onLeasesLeft(LeasesLeft left, long receivedMs) {
     boolean newer = foreignLeases.isEmpty() || left.term() > foreignLeases.get().term();
     if (left.term() != 0 && left.term() < term && newer) {
       foreignLeases = Optional.of(left);
-      foreignToldMs = toldMs;
-      duties.values().forEach(service -> limitForeignLeases(service.desk()));
-      act();
+      foreignLeasesAtMs = receivedMs;
+      planners.values().forEach(service -> limitForeignLeases(service.desk()));
+      runCycle();
     }
     return ready && foreignLeases.isPresent() && foreignLeases.get().term() == storedTerm;
   }
 
   private void limitForeignLeases(LeaseDesk desk) {
     foreignLeases
-        .filter(left -> left.term() == storedTerm && !storedMayBeOld)
+        .filter(left -> left.term() == storedTerm && !storedMayBeStale)
         .ifPresent(
             left -> {
-              desk.limitForeignLeases(left.leases(), foreignToldMs);
+              desk.limitForeignLeases(left.leases(), foreignLeasesAtMs);
               log.write("foreign_leases_known", "of={} left={}", storedTerm, left.leases().size());
             });
   }
 
-  private void onReplaced(TargetId id) {
+  private void markReplaced(TargetId id) {
     if (ended.add(id)) {
       log.write("target_replaced", "target={}", id);
-      duties.values().forEach(service -> service.desk().onGone(id));
+      planners.values().forEach(service -> service.desk().onGone(id));
       follower.forget(id);
     }
   }
@@ -271,22 +271,22 @@
     follower
         .register()
         .find(time.target())
-        .map(target -> duties.get(target.service()))
+        .map(target -> planners.get(target.service()))
         .ifPresent(service -> service.onTargetTime(time));
   }
 
   private void onOwnership(Optional<OwnershipRecord> found) {
     Map<ServiceId, OwnershipTable> tables = new HashMap<>();
     found.ifPresent(record -> record.tables().forEach(t -> tables.put(t.service(), t)));
-    found.ifPresent(record -> record.addresses().forEach(this::noteStoredAddress));
+    found.ifPresent(record -> record.addresses().forEach(this::recordStoredAddress));
     stored = tables;
     storedTerm = found.map(OwnershipRecord::term).orElse(0L);
-    storedMayBeOld = found.filter(ownership::isFromEpochBefore).isPresent();
-    if (found.isEmpty() && storeCameBack) {
+    storedMayBeStale = found.filter(ownership::isFromEpochBefore).isPresent();
+    if (found.isEmpty() && storeRestored) {
       // There may have been a record, with owners that still hold their keys.
       idleUntilMs = startedMs + timings.foreignLeaseMs();
     }
-    duties.clear();
+    planners.clear();
     ready = true;
     log.write(
         "owners_read",
@@ -294,12 +294,12 @@
         term,
         storedTerm,
         tables.size(),
-        storedMayBeOld);
-    act();
+        storedMayBeStale);
+    runCycle();
   }
 
   /** What the registry says is newer than what an earlier holder wrote. */
-  private void noteStoredAddress(TargetAddress stored) {
+  private void recordStoredAddress(TargetAddress stored) {
     lastAddresses.putIfAbsent(stored.target(), stored.address());
   }
 
@@ -320,29 +320,29 @@
 
   private void onTargets() {
     markLeaving();
-    noteFirstSeen();
+    recordFirstSeen();
     for (TargetId id : replacedTargets()) {
-      onReplaced(id);
+      markReplaced(id);
     }
     List<FleetTarget> targets = follower.register().all();
     targets.forEach(target -> lastAddresses.put(target.id(), target.address()));
-    targets.forEach(this::noteRestart);
+    targets.forEach(this::recordRestart);
     state.update(snapshot -> snapshot.withTargets(targets));
     if (follower.isListed()) {
       state.confirmTargets(follower.confirmed());
-      audience.onTargets(term, follower.register().version(), targets);
+      listener.onTargets(term, follower.register().version(), targets);
     }
-    act();
+    runCycle();
   }
 
-  private void noteRestart(FleetTarget target) {
-    ServicePlanner service = duties.get(target.service());
+  private void recordRestart(FleetTarget target) {
+    ServicePlanner service = planners.get(target.service());
     if (service != null && service.desk().onRestarted(target.id())) {
       log.write("target_restarted", "target={} service={}", target.id(), target.service());
     }
   }
 
-  private void noteFirstSeen() {
+  private void recordFirstSeen() {
     listings++;
     for (FleetTarget target : follower.register().all()) {
       firstSeen.putIfAbsent(target.id(), listings);
@@ -377,19 +377,19 @@
    * Acts once for all answers that have arrived by then: each look at all ranges takes the longer
    * the more there are, and so do the answers that wait meanwhile.
    */
-  private void actSoon() {
-    if (!actPending) {
-      actPending = true;
-      control.execute(this::act);
+  private void scheduleCycle() {
+    if (!cyclePending) {
+      cyclePending = true;
+      control.execute(this::runCycle);
     }
   }
 
-  private void act() {
-    actPending = false;
+  private void runCycle() {
+    cyclePending = false;
     if (!ready || !follower.isListed() || !termLease.isConfirmedSinceWaking()) {
       return;
     }
-    if (tokenCount > MOST_TOKENS) {
+    if (tokenCount > MAX_TOKENS) {
       termLease.renounce("tokens_used_up");
       return;
     }
@@ -400,53 +400,53 @@
     state.current().configuration().ifPresent(this::addServices);
     boolean outage = termLease.isOutage();
     boolean storeAnswers = !outage && !ownership.isWriting();
-    for (ServicePlanner service : duties.values()) {
+    for (ServicePlanner service : planners.values()) {
       service.plan(follower.register(), state.current().processes(), storeAnswers, nowMs);
     }
-    duties.values().forEach(service -> service.desk().setOutage(outage));
+    planners.values().forEach(service -> service.desk().setOutage(outage));
     renewStaleTokens();
     writeIfNeeded(nowMs);
-    for (ServicePlanner service : duties.values()) {
-      for (LeaseOrder order : service.desk().due(nowMs, sender::mayAsk)) {
+    for (ServicePlanner service : planners.values()) {
+      for (LeaseOrder order : service.desk().due(nowMs, sender::tryReserve)) {
         sender.send(service.desk(), order);
       }
     }
-    if (duties.values().stream().anyMatch(ServicePlanner::routesChanged)) {
-      tellRoutesAtPace(nowMs);
+    if (planners.values().stream().anyMatch(ServicePlanner::routesChanged)) {
+      publishRoutesThrottled(nowMs);
     }
   }
 
-  private void tellRoutesAtPace(long nowMs) {
-    long paceMs = (long) (state.current().processes() * TELL_MS_PER_GATEWAY);
-    long waitMs = routesToldMs + paceMs - nowMs;
+  private void publishRoutesThrottled(long nowMs) {
+    long intervalMs = (long) (state.current().processes() * PUBLISH_MS_PER_GATEWAY);
+    long waitMs = routesPublishedMs + intervalMs - nowMs;
     if (waitMs <= 0) {
-      routesToldMs = nowMs;
-      tellRoutes();
-    } else if (!tellPending) {
-      tellPending = true;
-      control.schedule(this::onTellDue, waitMs);
+      routesPublishedMs = nowMs;
+      publishRoutes();
+    } else if (!publishPending) {
+      publishPending = true;
+      control.schedule(this::onPublishDue, waitMs);
     }
   }
 
-  private void onTellDue() {
-    tellPending = false;
-    act();
+  private void onPublishDue() {
+    publishPending = false;
+    runCycle();
   }
 
   private void addServices(RoutingConfiguration configuration) {
     for (ServiceProfile profile : configuration.services().values()) {
-      if (profile.keyed() && !duties.containsKey(profile.id())) {
-        duties.put(profile.id(), newDuties(profile.id()));
+      if (profile.keyed() && !planners.containsKey(profile.id())) {
+        planners.put(profile.id(), newPlanner(profile.id()));
       }
     }
   }
 
-  private ServicePlanner newDuties(ServiceId id) {
+  private ServicePlanner newPlanner(ServiceId id) {
     LeaseDesk desk = new LeaseDesk(id, timings, this::nextToken);
     OwnershipTable table = stored.get(id);
     if (table != null && !table.assignments().isEmpty()) {
       desk.takeOver(table, clock.nowMs(), startedMs + timings.foreignLeaseMs());
-      if (storedMayBeOld) {
+      if (storedMayBeStale) {
         // Moves that were written later are lost: the owners named here prove nothing.
         desk.assumeUnknownOwners(startedMs + timings.foreignLeaseMs());
       } else {
@@ -455,7 +455,7 @@
       follower.register().of(id).forEach(target -> desk.onRestarted(target.id()));
       log.write("keys_taken_over", "service={} ranges={}", id, desk.rangeCount());
     }
-    return new ServicePlanner(id, desk, log, limits, resting::isResting, clock.nowMs());
+    return new ServicePlanner(id, desk, log, limits, restingTargets::isResting, clock.nowMs());
   }
 
   private long nextToken() {
@@ -465,7 +465,7 @@
 
   /** A target that knows a higher token may know a higher term: ask before going on. */
   private void renewStaleTokens() {
-    boolean stale = duties.values().stream().anyMatch(s -> s.desk().hasStaleTokens());
+    boolean stale = planners.values().stream().anyMatch(s -> s.desk().hasStaleTokens());
     if (!stale) {
       staleSince = Optional.empty();
       return;
@@ -476,23 +476,23 @@
       termLease.confirm();
     } else if (termLease.confirmed().compareTo(staleSince.get()) >= 0) {
       staleSince = Optional.empty();
-      duties.values().forEach(service -> service.desk().renewTokens());
+      planners.values().forEach(service -> service.desk().renewTokens());
     }
   }
 
   private void writeIfNeeded(long nowMs) {
-    boolean urgent = duties.values().stream().anyMatch(service -> service.desk().needsWrite());
+    boolean urgent = planners.values().stream().anyMatch(service -> service.desk().needsWrite());
     boolean cleanup =
-        duties.values().stream().anyMatch(service -> service.desk().isCleanupPending());
+        planners.values().stream().anyMatch(service -> service.desk().isCleanupPending());
     cleanupSinceMs = cleanup ? Math.min(cleanupSinceMs, nowMs) : Long.MAX_VALUE;
-    boolean due = urgent || nowMs - cleanupSinceMs > CLEANUP_MS || onRewritten.isPresent();
+    boolean due = urgent || nowMs - cleanupSinceMs > CLEANUP_DELAY_MS || onRewritten.isPresent();
     if (!due || ownership.isWriting()) {
       return;
     }
     final Optional<Runnable> afterwards = onRewritten;
     Map<ServiceId, OwnershipTable> tables = new LinkedHashMap<>(stored);
     Map<ServiceId, Long> versions = new HashMap<>();
-    duties.forEach(
+    planners.forEach(
         (id, service) -> {
           if (service.desk().isPartitioned()) {
             tables.put(id, service.desk().table(nowMs));
@@ -503,16 +503,16 @@
         List.copyOf(tables.values()),
         this::lastAddressOf,
         () -> onWritten(versions, afterwards),
-        this::onOvertaken);
+        this::onConflict);
   }
 
   private void onWritten(Map<ServiceId, Long> versions, Optional<Runnable> afterwards) {
-    versions.forEach((id, version) -> duties.get(id).desk().onWritten(version));
+    versions.forEach((id, version) -> planners.get(id).desk().onWritten(version));
     if (afterwards.isPresent()) {
       onRewritten = Optional.empty();
       afterwards.get().run();
     } else {
-      act();
+      runCycle();
     }
   }
 
@@ -523,16 +523,16 @@
    * @param onDone called once it is durable, or at once if this process does not know either
    */
   void rewrite(Runnable onDone) {
-    if (!ready || storedMayBeOld || duties.isEmpty()) {
+    if (!ready || storedMayBeStale || planners.isEmpty()) {
       onDone.run();
     } else {
       onRewritten = Optional.of(onDone);
-      act();
+      runCycle();
     }
   }
 
   /** Somebody else wrote: a later holder, or an earlier one after this one had read. */
-  private void onOvertaken(Optional<OwnershipRecord> found) {
+  private void onConflict(Optional<OwnershipRecord> found) {
     long other = found.map(OwnershipRecord::term).orElse(0L);
     log.write("owners_overtaken", "term={} by_term={}", term, other);
     if (other > term) {
@@ -543,20 +543,20 @@
     }
   }
 
-  private void tellRoutes() {
+  private void publishRoutes() {
     List<ServiceRanges> services = new ArrayList<>();
-    duties.forEach(
+    planners.forEach(
         (id, service) -> {
           if (service.desk().isPartitioned()) {
             services.add(new ServiceRanges(id, service.routes()));
           }
         });
     routesVersion++;
-    audience.onRoutes(term, routesVersion, services);
+    listener.onRoutes(term, routesVersion, services);
   }
 
   /** What may forbid an order when its first byte is due. */
-  private final class Knowledge implements HolderState {
+  private final class CurrentState implements HolderState {
 
     @Override
     public UpperTime termConfirmed() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
@@ -17,29 +17,29 @@
   @Test
   void nothingIsKnownAtFirst() {
     assertThat(leases.heard().left().term()).isEqualTo(0);
-    assertThat(leases.leftBefore(9, 0)).isEmpty();
+    assertThat(leases.leasesBefore(9, 0)).isEmpty();
   }
 
   @Test
   void leasesRunOnWhileTheyAreRemembered() {
     leases.onHeard(left(3, 1_000, 5_000), 100);
-    assertThat(leases.leftBefore(4, 2_100)).hasValue(left(3, 3_000));
+    assertThat(leases.leasesBefore(4, 2_100)).hasValue(left(3, 3_000));
   }
 
   @Test
   void theNewestTermCounts() {
     leases.onOwnTermEnded(left(5, 500), 0);
     leases.onHeard(left(3, 1_000), 0);
-    assertThat(leases.leftBefore(6, 0)).hasValue(left(5, 500));
+    assertThat(leases.leasesBefore(6, 0)).hasValue(left(5, 500));
     leases.onHeard(left(7, 700), 0);
     leases.onHeard(left(6, 600), 0);
-    assertThat(leases.leftBefore(8, 0)).hasValue(left(7, 700));
+    assertThat(leases.leasesBefore(8, 0)).hasValue(left(7, 700));
   }
 
   @Test
   void onlyEarlierTermsAreTold() {
     leases.onHeard(left(3, 1_000), 0);
-    assertThat(leases.leftBefore(3, 0)).isEmpty();
+    assertThat(leases.leasesBefore(3, 0)).isEmpty();
   }
 
   private static LeasesLeft left(long term, long... leftMs) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetTimingsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetTimingsTest.java
@@ -16,9 +16,9 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 9, 40, 45, 87, 300, 1_000})
   void nothingIsSentByConfigurationsThatMayBeOutOfForce(int processes) {
-    FleetTimings pace = new FleetTimings(new RoutingState(processes));
+    FleetTimings timings = new FleetTimings(new RoutingState(processes));
     assertWithMessage("the gate's bound in a fleet of %s, ms", processes)
-        .that(pace.configurationMaxAgeMs())
+        .that(timings.configurationMaxAgeMs())
         .isLessThan(IN_FORCE_MS);
   }
 
@@ -26,19 +26,19 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 9, 40, 45, 87, 300, 1_000})
   void oldConfigurationsAreLookedUpBeforeTheyForbidRequests(int processes) {
-    FleetTimings pace = new FleetTimings(new RoutingState(processes));
+    FleetTimings timings = new FleetTimings(new RoutingState(processes));
     assertWithMessage("age at the look in a fleet of %s, and a slow answer, ms", processes)
-        .that(pace.confirmedMs() + SLOW_ANSWER_MS)
-        .isLessThan(pace.configurationMaxAgeMs());
+        .that(timings.confirmedMs() + SLOW_ANSWER_MS)
+        .isLessThan(timings.configurationMaxAgeMs());
   }
 
   /** Guards against looks in the ordinary course: each gateway of a wide fleet would ask. */
   @ParameterizedTest
   @ValueSource(ints = {1, 9, 40, 45, 87, 300, 1_000})
   void wordsOfTheHolderThatComeInTimeAreEnough(int processes) {
-    FleetTimings pace = new FleetTimings(new RoutingState(processes));
+    FleetTimings timings = new FleetTimings(new RoutingState(processes));
     assertWithMessage("age before the next word in a fleet of %s, ms", processes)
-        .that(KeyFollower.SHORT_WAIT_MS + pace.helloMs())
-        .isLessThan(pace.confirmedMs());
+        .that(KeyFollower.SHORT_WAIT_MS + timings.helloIntervalMs())
+        .isLessThan(timings.confirmedMs());
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetViewTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetViewTest.java
@@ -65,44 +65,44 @@
     hear(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
     holder.publishRoutes(5, 2, routes(LOW, new RangeRoute(10, 19, A, false)));
     FleetMessage third = holder.publishRoutes(5, 3, routes(LOW, new RangeRoute(10, 19, A, true)));
-    assertThat(other.take((RoutesChange) third)).isFalse();
+    assertThat(other.apply((RoutesChange) third)).isFalse();
     assertThat(other.routes().version()).isEqualTo(1);
   }
 
   @Test
   void newsOfAnEarlierTermAreNone() {
     hear(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
-    assertThat(other.take(new RoutesPush(4, 9, routes(HIGH)))).isFalse();
-    assertThat(other.take(new TargetsPush(4, 9, List.of(target(B))))).isFalse();
+    assertThat(other.apply(new RoutesPush(4, 9, routes(HIGH)))).isFalse();
+    assertThat(other.apply(new TargetsPush(4, 9, List.of(target(B))))).isFalse();
   }
 
   @Test
   void distrustedTargetsAreAskedForAgainAndStayInUse() {
     hear(holder.publishTargets(5, 1, List.of(target(A))));
-    other.distrustTargets();
+    other.invalidateTargets();
     assertThat(other.hello("x", "dc", 1, 0, 0, 0, UpperTime.NEVER, 0).targetsTerm()).isEqualTo(0);
     assertThat(other.targets().targets()).containsExactly(target(A));
   }
 
   @Test
   void whatTheStoreSaysCountsUntilTheHolderSpeaks() {
-    assertThat(other.takeStored(routes(LOW))).isTrue();
-    assertThat(other.takeStored(routes(HIGH))).isFalse();
+    assertThat(other.applyStored(routes(LOW))).isTrue();
+    assertThat(other.applyStored(routes(HIGH))).isFalse();
     hear(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
-    assertThat(other.takeStored(routes(LOW))).isFalse();
+    assertThat(other.applyStored(routes(LOW))).isFalse();
     assertThat(other.routes().services()).isEqualTo(routes(LOW, HIGH));
   }
 
   private void hear(FleetMessage message) {
     boolean taken;
     if (message instanceof RoutesPush push) {
-      taken = other.take(push);
+      taken = other.apply(push);
     } else if (message instanceof RoutesChange change) {
-      taken = other.take(change);
+      taken = other.apply(change);
     } else if (message instanceof TargetsPush push) {
-      taken = other.take(push);
+      taken = other.apply(push);
     } else {
-      taken = other.take((TargetsChange) message);
+      taken = other.apply((TargetsChange) message);
     }
     assertThat(taken).isTrue();
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
@@ -340,12 +340,12 @@
     }
 
     private void onTargets() {
-      FleetMessage news =
+      FleetMessage change =
           view.publishTargets(term, registry.register().version(), registry.register().all());
       if (lostChanges > 0) {
         lostChanges--;
       } else {
-        subscribers.tell(news);
+        subscribers.sendToAll(change);
       }
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OrderFactsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OrderFactsTest.java
@@ -32,7 +32,7 @@
   }
 
   private Optional<SendObstacle> check(SendKind kind) {
-    return gate.check(kind, new OrderFacts(new Knowledge(), () -> holdsTerm, TARGET, decided));
+    return gate.check(kind, new OrderFacts(new TestState(), () -> holdsTerm, TARGET, decided));
   }
 
   @Test
@@ -80,7 +80,7 @@
     assertThat(check(SendKind.RELEASE)).hasValue(new SendObstacle(SendCondition.TERM_HELD, false));
   }
 
-  private final class Knowledge implements HolderState {
+  private final class TestState implements HolderState {
 
     @Override
     public UpperTime termConfirmed() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OwnershipStoreTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OwnershipStoreTest.java
@@ -23,7 +23,7 @@
       new OwnershipStore(memory, control, log, new RecordCodec(), 2);
   private final OwnershipStore later =
       new OwnershipStore(memory, control, log, new RecordCodec(), 37);
-  private final List<Long> overtakenBy = new ArrayList<>();
+  private final List<Long> conflictingTerms = new ArrayList<>();
 
   @AfterEach
   void tearDown() {
@@ -36,7 +36,7 @@
     read(later);
     write(later);
     write(earlier);
-    assertThat(overtakenBy).containsExactly(37L);
+    assertThat(conflictingTerms).containsExactly(37L);
     write(earlier);
     assertThat(termInStore()).isEqualTo(37);
   }
@@ -47,7 +47,7 @@
     read(later);
     write(earlier);
     write(later);
-    assertThat(overtakenBy).containsExactly(2L);
+    assertThat(conflictingTerms).containsExactly(2L);
     write(later);
     assertThat(termInStore()).isEqualTo(37);
   }
@@ -57,7 +57,7 @@
     read(earlier);
     memory.loseNextAnswer();
     write(earlier);
-    assertThat(overtakenBy).isEmpty();
+    assertThat(conflictingTerms).isEmpty();
     assertThat(earlier.isWriting()).isFalse();
     write(earlier);
     assertThat(termInStore()).isEqualTo(2);
@@ -76,7 +76,7 @@
                 List.of(),
                 target -> Optional.empty(),
                 () -> {},
-                found -> overtakenBy.add(found.map(OwnershipRecord::term).orElse(0L)));
+                found -> conflictingTerms.add(found.map(OwnershipRecord::term).orElse(0L)));
           }
         });
     settle();
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
@@ -74,7 +74,7 @@
           GRACE_MS,
           PeerReliance.partial(() -> 1_000),
           new IgnoredEvents());
-  private TermCoordinator duties;
+  private TermCoordinator coordinator;
 
   @BeforeEach
   void grantAllKeys() {
@@ -90,8 +90,8 @@
                     new CallerBounds(8_192, 1L << 20, 10_000, 60_000))));
     control.execute(lease::start);
     clock.advance(1_000);
-    duties = newDuties();
-    control.execute(duties::start);
+    coordinator = newCoordinator();
+    control.execute(coordinator::start);
     clock.advance(SETTLE_MS);
     assertThat(targets.grantsTo(A)).isNotEmpty();
     assertThat(targets.grantsTo(B)).isNotEmpty();
@@ -125,10 +125,10 @@
   }
 
   private void report(TargetId replaced) {
-    control.execute(() -> duties.onReport(new TargetReplaced(replaced)));
+    control.execute(() -> coordinator.onReport(new TargetReplaced(replaced)));
   }
 
-  private TermCoordinator newDuties() {
+  private TermCoordinator newCoordinator() {
     return new TermCoordinator(
         new GatewayPorts(
             new MemoryStore(),
@@ -145,7 +145,7 @@
         TIMINGS,
         2,
         lease,
-        new NoAudience(),
+        new NoListener(),
         false,
         target -> OptionalDouble.empty(),
         target -> {});
@@ -204,7 +204,7 @@
     }
   }
 
-  private static final class NoAudience implements TermCoordinator.Audience {
+  private static final class NoListener implements TermCoordinator.Listener {
 
     @Override
     public void onTargets(long term, long version, List<FleetTarget> targets) {}
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServicePlannerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServicePlannerTest.java
@@ -40,7 +40,7 @@
   private final Set<TargetId> resting = new HashSet<>();
   private long tokens;
   private final LeaseDesk desk = new LeaseDesk(SERVICE, TIMINGS, () -> ++tokens);
-  private final ServicePlanner duties =
+  private final ServicePlanner planner =
       new ServicePlanner(
           SERVICE,
           desk,
@@ -53,25 +53,25 @@
   void assignKeys() {
     register.put(target("a", TargetPhase.READY));
     register.put(target("b", TargetPhase.READY));
-    duties.plan(register, 3, true, SETTLED_MS);
+    planner.plan(register, 3, true, SETTLED_MS);
     desk.onWritten(desk.version());
     for (LeaseOrder order : desk.due(SETTLED_MS, target -> true)) {
       desk.onGrantEnded((LeaseOrder.Grant) order, OrderOutcome.DONE, SETTLED_MS, SETTLED_MS);
     }
-    duties.plan(register, 3, true, SETTLED_MS);
+    planner.plan(register, 3, true, SETTLED_MS);
   }
 
   /** The first keys, all of one owner, cause work. */
   private void onWork(int workMs) {
     int[] keys = IntStream.range(0, BUSY_KEYS).toArray();
     int[] work = IntStream.range(0, BUSY_KEYS).map(key -> workMs).toArray();
-    duties.onKeyWork(new KeyLoadReport(SERVICE, keys, work, BUSY_KEYS));
+    planner.onKeyLoad(new KeyLoadReport(SERVICE, keys, work, BUSY_KEYS));
   }
 
   @Test
   void unevenLoadIsEvenedOut() {
     onWork(WORK_MS);
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isTrue();
   }
 
@@ -79,7 +79,7 @@
   @Test
   void unevenLoadIsLeftAloneWhileTheStoreDoesNotAnswer() {
     onWork(WORK_MS);
-    duties.plan(register, 3, false, SETTLED_MS + 250);
+    planner.plan(register, 3, false, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isFalse();
     assertThat(desk.routes().stream().allMatch(route -> route.open())).isTrue();
   }
@@ -88,10 +88,10 @@
   @Test
   void ownersWithLimitsAreRelieved() {
     onWork(LITTLE_WORK_MS);
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isFalse();
     limits.put(ownerOf(0), OptionalDouble.of(2));
-    duties.plan(register, 3, true, SETTLED_MS + 500);
+    planner.plan(register, 3, true, SETTLED_MS + 500);
     assertThat(desk.needsWrite()).isTrue();
     assertThat(ownersOfBusyKeys()).hasSize(2);
   }
@@ -102,7 +102,7 @@
     onWork(LITTLE_WORK_MS);
     final TargetId owner = ownerOf(0);
     resting.add(owner);
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isTrue();
     assertThat(ownersOfBusyKeys()).doesNotContain(owner);
   }
@@ -111,7 +111,7 @@
   void ownersThatRestKeepTheirKeysWhileNoMoveCanBeWritten() {
     onWork(LITTLE_WORK_MS);
     resting.add(ownerOf(0));
-    duties.plan(register, 3, false, SETTLED_MS + 250);
+    planner.plan(register, 3, false, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isFalse();
   }
 
@@ -121,7 +121,7 @@
     onWork(LITTLE_WORK_MS);
     resting.add(new TargetId("a"));
     resting.add(new TargetId("b"));
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isFalse();
   }
 
@@ -131,7 +131,7 @@
     onWork(WORK_MS);
     limits.put(new TargetId("c"), OptionalDouble.of(0.1));
     register.put(target(ownerOf(0).value(), TargetPhase.DRAINING));
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(ownersOfBusyKeys()).doesNotContain(new TargetId("c"));
   }
 
@@ -150,7 +150,7 @@
   @Test
   void keysOfTargetsThatLeaveAreMovedInAnyCase() {
     register.put(target("a", TargetPhase.DRAINING));
-    duties.plan(register, 3, false, SETTLED_MS + 250);
+    planner.plan(register, 3, false, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isTrue();
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/SubscribersTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/SubscribersTest.java
@@ -36,7 +36,7 @@
   void whatIsStillUnderWayIsNotSentAgain() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
     channel.sent.clear();
-    subscribers.tell(view.publishRoutes(TERM, 2, List.of()));
+    subscribers.sendToAll(view.publishRoutes(TERM, 2, List.of()));
     subscribers.onHello(channel, hello(TERM, 1), TERM, view, 300);
     assertThat(channel.sent).hasSize(1);
     subscribers.onHello(channel, hello(TERM, 2), TERM, view, 600);
@@ -46,7 +46,7 @@
   @Test
   void whatWasLostIsSentAgainWhole() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
-    subscribers.tell(view.publishRoutes(TERM, 2, List.of()));
+    subscribers.sendToAll(view.publishRoutes(TERM, 2, List.of()));
     subscribers.onHello(channel, hello(TERM, 1), TERM, view, 300);
     channel.sent.clear();
     subscribers.onHello(channel, hello(TERM, 1), TERM, view, 600);
@@ -71,20 +71,20 @@
   @Test
   void silentGatewaysCountNoMore() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
-    subscribers.dropSilent(2_000, 300);
+    subscribers.removeSilent(2_000, 300);
     assertThat(subscribers.count()).isEqualTo(1);
-    subscribers.dropSilent(2_200, 300);
+    subscribers.removeSilent(2_200, 300);
     assertThat(subscribers.count()).isEqualTo(0);
   }
 
   @Test
   void mostAreThoseThatFollowedBeforeTheyFellSilent() {
-    assertThat(subscribers.mostHeardSince(0)).isTrue();
+    assertThat(subscribers.majorityHeardSince(0)).isTrue();
     subscribers.onHello(channel, hello(0, 0), TERM, view, 1_000);
-    assertThat(subscribers.mostHeardSince(700)).isTrue();
-    assertThat(subscribers.mostHeardSince(1_300)).isFalse();
-    subscribers.dropSilent(9_000, 300);
-    assertThat(subscribers.mostHeardSince(8_700)).isFalse();
+    assertThat(subscribers.majorityHeardSince(700)).isTrue();
+    assertThat(subscribers.majorityHeardSince(1_300)).isFalse();
+    subscribers.removeSilent(9_000, 300);
+    assertThat(subscribers.majorityHeardSince(8_700)).isFalse();
   }
 
   private static FleetHello hello(long term, long routesVersion) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermCoordinatorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermCoordinatorTest.java
@@ -34,13 +34,13 @@
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final VirtualRegistry registry = new VirtualRegistry(clock);
-  private final VirtualRegistry.Reader way = registry.new Reader();
+  private final VirtualRegistry.Reader reader = registry.new Reader();
   private final ControlThread control =
       new ControlThread("test", FailureHandler.logging(), new VirtualExecutor(clock));
   private final RoutingState state = new RoutingState(2);
-  private final List<List<FleetTarget>> told = new ArrayList<>();
+  private final List<List<FleetTarget>> published = new ArrayList<>();
 
-  private TermCoordinator duties() {
+  private TermCoordinator coordinator() {
     DecisionLog log = new DecisionLog(clock, 1, line -> {});
     CursorStore store = new CursorStore(clock);
     TermLease lease =
@@ -57,18 +57,18 @@
             9_500,
             PeerReliance.partial(() -> 1_460),
             null);
-    TermCoordinator.Audience audience =
-        new TermCoordinator.Audience() {
+    TermCoordinator.Listener listener =
+        new TermCoordinator.Listener() {
           @Override
           public void onTargets(long term, long version, List<FleetTarget> targets) {
-            told.add(targets);
+            published.add(targets);
           }
 
           @Override
           public void onRoutes(long term, long version, List<ServiceRanges> services) {}
         };
     return new TermCoordinator(
-        new GatewayPorts(store, "configuration", bytes -> null, way, null, null),
+        new GatewayPorts(store, "configuration", bytes -> null, reader, null, null),
         state,
         control,
         clock,
@@ -77,7 +77,7 @@
         TIMINGS,
         2,
         lease,
-        audience,
+        listener,
         false,
         target -> OptionalDouble.empty(),
         target -> {});
@@ -91,13 +91,13 @@
   void targetsAreToldOnlyOnceTheRegistryHasAnswered() {
     state.update(s -> s.withTargets(List.of(READY, target(B, TargetPhase.READY))));
     registry.put(target(A, TargetPhase.DRAINING));
-    way.silenceNextListings(1);
-    TermCoordinator duties = duties();
-    control.execute(duties::start);
+    reader.silenceNextListings(1);
+    TermCoordinator coordinator = coordinator();
+    control.execute(coordinator::start);
     clock.advance(100);
     state.update(s -> s.withLeaving(Set.of(B)));
-    duties.onDepartures();
-    boolean toldOld = told.stream().anyMatch(targets -> targets.contains(READY));
+    coordinator.onDepartures();
+    boolean toldOld = published.stream().anyMatch(targets -> targets.contains(READY));
     assertWithMessage("tells that the target is ready, before it has read anything")
         .that(toldOld)
         .isFalse();
@@ -106,11 +106,11 @@
   /** Guards against a holder that passes for one that knows, before the registry has answered. */
   @Test
   void theAgeOfTheRegistryBeginsWithItsFirstAnswer() {
-    way.silenceNextListings(5);
-    TermCoordinator duties = duties();
-    control.execute(duties::start);
+    reader.silenceNextListings(5);
+    TermCoordinator coordinator = coordinator();
+    control.execute(coordinator::start);
     clock.advance(1_000);
-    assertThat(clock.upper().sinceMs(duties.targetsConfirmed()))
+    assertThat(clock.upper().sinceMs(coordinator.targetsConfirmed()))
         .isGreaterThan(FleetLink.STALE_REGISTRY_MS);
   }
 }
