--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 
 /**
- * Passes on, from holder to holder of the term, which leases may still be in force.
+ * Passes on from one term holder to the next which leases may still be in force.
  *
- * <p>A new holder asks the one before it, and every gateway that follows it, until one knows; what
- * they tell may free keys many seconds earlier. The holder before stops at once, if it still runs.
- * All methods are for the control thread.
+ * <p>A new holder asks its predecessor and every gateway that follows it, until one has the
+ * complete list; the answers may free keys many seconds earlier. A predecessor that still runs
+ * stops at once. All methods run on the control thread.
  */
 final class EarlierLeaseExchange {
 
@@ -33,7 +33,7 @@
     this.onTermReplaced = onTermReplaced;
   }
 
-  /** This process holds the term now. */
+  /** Handles the start of a term of this process. */
   void onGained(TermCoordinator gained, Optional<String> holderBefore) {
     coordinator = Optional.of(gained);
     formerHolder = holderBefore;
@@ -42,7 +42,10 @@
     requestLeases();
   }
 
-  /** This process holds the term no longer: whoever is next need not wait for more than this. */
+  /**
+   * Handles the end of the term of this process and sends its remaining leases, so that the next
+   * holder waits only for these.
+   */
   void onLost(TermCoordinator ended) {
     coordinator = Optional.empty();
     LeasesLeft left = new LeasesLeft(ended.term(), ended.leasesLeft());
@@ -50,7 +53,7 @@
     subscribers.sendToAll(left);
   }
 
-  /** Asks once more, as the holder, unless it is known already. */
+  /** Requests the remaining leases again, as the holder, unless the list is complete. */
   void requestLeases() {
     if (complete) {
       return;
@@ -60,14 +63,17 @@
     subscribers.sendToAll(request);
   }
 
-  /** Another gateway tells what an ended holder left behind. */
+  /** Handles the remaining leases of an ended holder, received from another gateway. */
   void onLeasesLeft(LeasesLeft left) {
     long nowMs = clock.nowMs();
     earlierLeases.onHeard(left, nowMs);
     coordinator.ifPresent(holder -> complete |= holder.onLeasesLeft(left, nowMs));
   }
 
-  /** The term of an earlier holder is over, perhaps of this process: then it stops at once. */
+  /**
+   * Handles the end of an earlier term. If it is the term of this process, this process stops at
+   * once.
+   */
   void onHolderEnded(PeerChannel sender, HolderEnded ended) {
     if (coordinator.isPresent() && coordinator.get().term() < ended.term()) {
       onTermReplaced.run();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 
 /**
- * Remembers which leases earlier holders of the term left behind.
+ * Keeps the leases that earlier term holders left in force.
  *
- * <p>A holder that knows them need not wait for the longest lease that anybody might have granted.
- * Every gateway remembers, since the holder before may be gone with its host. All methods are for
+ * <p>A holder that has the list need not wait for the longest lease that anyone might have granted.
+ * Every gateway keeps it, since the previous holder may be lost with its host. All methods run on
  * the control thread.
  */
 final class EarlierLeases {
@@ -18,24 +18,29 @@
   private Snapshot own = new Snapshot(new LeasesLeft(0, List.of()), 0);
   private Snapshot heard = own;
 
-  /** A term of this process is over. */
+  /** Records the remaining leases at the end of a term of this process. */
   void onOwnTermEnded(LeasesLeft left, long nowMs) {
     own = new Snapshot(left, nowMs);
   }
 
-  /** Another process told what it, or a holder before it, left behind. */
+  /**
+   * Records remaining leases received from another process, its own or those of an earlier holder.
+   */
   void onHeard(LeasesLeft left, long nowMs) {
     if (left.term() > heard.left().term()) {
       heard = new Snapshot(left, nowMs);
     }
   }
 
-  /** Returns what other processes told last; of term 0 if they told nothing. */
+  /** Returns the newest leases received from other processes; with term 0 if there are none. */
   Snapshot heard() {
     return heard;
   }
 
-  /** Returns what the newest term known left behind, with what is left of each lease by now. */
+  /**
+   * Returns the leases of the newest known term, if it is earlier than the given one, with the time
+   * that each has left.
+   */
   Optional<LeasesLeft> leasesBefore(long term, long nowMs) {
     Snapshot newest = own.left().term() > heard.left().term() ? own : heard;
     if (newest.left().term() == 0 || newest.left().term() >= term) {
@@ -45,25 +50,25 @@
   }
 
   /**
-   * What was left at one moment.
+   * The remaining leases at one point in time.
    *
    * @param left the leases; not null
-   * @param takenMs the moment; milliseconds
+   * @param takenMs the point in time; milliseconds
    */
   record Snapshot(LeasesLeft left, long takenMs) {
 
     private LeasesLeft at(long nowMs) {
-      long pastMs = nowMs - takenMs;
+      long elapsedMs = nowMs - takenMs;
       List<LeaseLeft> running = new ArrayList<>();
       for (LeaseLeft lease : left.leases()) {
-        if (lease.leftMs() > pastMs) {
+        if (lease.leftMs() > elapsedMs) {
           running.add(
               new LeaseLeft(
                   lease.service(),
                   lease.firstKey(),
                   lease.lastKey(),
                   lease.target(),
-                  lease.leftMs() - pastMs));
+                  lease.leftMs() - elapsedMs));
         }
       }
       return new LeasesLeft(left.term(), running);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
@@ -25,7 +25,7 @@
 import java.util.function.Function;
 
 /**
- * Everything of a gateway that is not traffic: configuration, term, targets, owners.
+ * The control plane of a gateway: configuration, term, targets and owners.
  *
  * @since 0.2
  */
@@ -39,9 +39,9 @@
   private static final int QUEUE_CAPACITY = 256;
 
   /**
-   * When a whole fleet starts for the first time, one gateway looks for the term first and the
-   * others find it taken: 95 that all looked at once cost 800 calls of the store. Nobody is served
-   * yet.
+   * Start delay of all gateways but the first candidate when a whole fleet starts for the first
+   * time. The others find the term taken then; 95 gateways that tried to take it at once made 800
+   * calls to the store. No client is served yet at that point.
    */
   private static final long FIRST_START_DELAY_MS = 1_000;
 
@@ -66,16 +66,16 @@
   private boolean storeRestored;
 
   /**
-   * Creates the control of a gateway. Opens the listener for peers.
+   * Creates the control plane of a gateway and opens the listener for peers.
    *
-   * @param ports what it needs from outside; not null
-   * @param settings what it has to know; not null
-   * @param sharedKey proves that a peer belongs to the fleet; not null
-   * @param state where knowledge goes; not null
+   * @param ports external services; not null
+   * @param settings settings of the gateway; not null
+   * @param sharedKey authenticates peers of the fleet; not null
+   * @param state routing state to update; not null
    * @param control the control thread; not null
-   * @param clock the time; not null
-   * @param log takes decisions; not null
-   * @param reports what traffic measured; not null
+   * @param clock the clock; not null
+   * @param log log of control decisions; not null
+   * @param reports measurements of the traffic; not null
    */
   public FleetControl(
       GatewayPorts ports,
@@ -164,7 +164,7 @@
   }
 
   /**
-   * Returns for how long nobody has confirmed the configuration. For any thread.
+   * Returns the time since the configuration was last confirmed as current. Thread-safe.
    *
    * @return milliseconds
    */
@@ -172,7 +172,7 @@
     return configuration.ageMs();
   }
 
-  /** Starts. */
+  /** Starts the peer network and, after a delay on the first start of a fleet, all other parts. */
   public void start() {
     network.start();
     boolean first = settings.firstCandidate() || !settings.firstStart();
@@ -187,7 +187,10 @@
     link.start();
   }
 
-  /** The store has lost what it acknowledged last: the holder writes what it knows again. */
+  /**
+   * Handles a store that was restored from an older copy and has lost acknowledged writes: the
+   * holder writes its state again.
+   */
   private void onStoreCameBack() {
     log.write("store_came_back_older", "epoch={}", ports.store().epoch());
     storeRestored = true;
@@ -196,8 +199,9 @@
   }
 
   /**
-   * The older store may name this process as the holder although another has replaced it: only one
-   * that most gateways still follow may write what it knows.
+   * Rewrites the ownership tables, or gives up the term. The restored store may name this process
+   * as the holder although another one has replaced it, so it may write only while most gateways
+   * still follow it.
    */
   private void rewriteOwnership(TermCoordinator holder) {
     if (link.hasMajorityOfFollowers()) {
@@ -208,20 +212,23 @@
   }
 
   /**
-   * This host was suspended: what is believed is looked at again before it is acted on. For the
-   * control thread.
+   * Verifies the term and the targets again after this host resumes from a suspension, before
+   * acting on them. Runs on the control thread.
    */
   public void onWoken() {
     termLease.onWoken();
     link.onWoken();
   }
 
-  /** Gives the term up, so that another gateway takes it at once; goes on routing. */
+  /** Gives up the term so that another gateway can take it at once; routing continues. */
   public void resign() {
     control.execute(termLease::close);
   }
 
-  /** Ends the duties of a holder, if it is one, and tells the others. Returns when that is done. */
+  /**
+   * Stops coordinating the fleet if this process holds the term, and sends the remaining leases to
+   * the other gateways. Returns when that is done.
+   */
   public void retire() {
     CompletableFuture<Void> done = new CompletableFuture<>();
     control.execute(
@@ -232,14 +239,14 @@
     done.join();
   }
 
-  /** Ends everything. */
+  /** Stops following the configuration and closes the peer network. */
   public void close() {
     control.execute(configuration::close);
     network.close();
   }
 
   /**
-   * Tells whether this process holds the term. For any thread.
+   * Returns whether this process holds the term. Thread-safe.
    *
    * @return true between taking and losing it
    */
@@ -284,7 +291,7 @@
     link.setHolder(peerAddress);
   }
 
-  /** The link is made before the lease of the term. */
+  /** Forwards to the term lease, which is created after the link. */
   private final class TermLeaseKnowledge implements TermKnowledge {
 
     @Override
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -45,56 +45,74 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps this gateway and the holder of the term in touch.
+ * Exchanges state between this gateway and the term holder.
  *
- * <p>Every gateway says hello to the holder at a pace; the holder answers with a beat and sends the
- * targets and the owners whenever they change. A gateway that hears nothing for a while follows the
- * registry of targets itself. All methods are for the control thread.
+ * <p>Every gateway sends hellos to the holder at an interval. The holder answers each with a beat
+ * and sends the targets and the owners whenever they change. A gateway that receives nothing for a
+ * while follows the target registry itself. All methods run on the control thread.
  *
  * @since 0.2
  */
 final class FleetLink implements TermCoordinator.Listener {
 
-  /** Pause between two reports of load: a hot key has to be noticed within a second. */
+  /** Interval between two load reports; a hot key has to be noticed within a second. */
   private static final long KEY_LOAD_INTERVAL_MS = 150;
 
-  /** Pause between two reports of times: the speed of a target seldom changes. */
+  /** Interval between two reports of response times; the speed of a target seldom changes. */
   private static final long TARGET_TIMES_INTERVAL_MS = 1_000;
 
-  /** A holder whose knowledge of the targets is older is not heard: a call, its pace and some. */
+  /**
+   * A beat whose registry age exceeds this does not count as a sign of life of the holder: it
+   * covers one registry call, the pause between two calls, and some margin.
+   */
   static final long STALE_REGISTRY_MS = 1_300;
 
   /**
-   * Older knowledge of the targets is looked up here: two calls of the holder to a slow store, its
-   * pause, the longest pause between hellos; what is left of 1.95 s is for the look.
+   * Age of the known targets from which this gateway queries the registry itself. It covers two
+   * calls of the holder to a slow store, the pause between them and the longest interval between
+   * hellos; the rest of the 1.95 s is left for the own query.
    */
   private static final long MAX_TARGETS_AGE_MS = 1_500;
 
-  /** A holder that knows nothing newer is not followed again. */
+  /**
+   * This gateway returns to following the holder only if the targets of the holder are at most this
+   * old.
+   */
   private static final long FRESH_TARGETS_MS = 1_100;
 
-  /** Pause between two looks at the age of what is known. */
+  /** Interval between two checks of the age of the known targets. */
   private static final long AGE_CHECK_INTERVAL_MS = 50;
 
-  /** In a wide fleet the registry takes several calls; a holder that is there may be faster. */
+  /**
+   * Delay of the first registry listing. In a large fleet a listing takes several calls, and a
+   * holder that already runs may be faster.
+   */
   private static final long FIRST_LISTING_DELAY_MS = 60;
 
-  /** Pause between two questions to deputies: a few fit into the time for which a beat counts. */
+  /**
+   * Interval between two queries to deputies; several fit into the time for which a beat counts.
+   */
   private static final long DEPUTY_QUERY_INTERVAL_MS = 300;
 
-  /** A beat may be so late. */
+  /** Tolerated delay of a beat. */
   private static final long MAX_BEAT_DELAY_MS = 150;
 
-  /** A holder that the store answers confirms what it knows more often than this. */
+  /**
+   * While the store answers, the holder confirms its term and configuration more often than this.
+   */
   private static final long FRESH_BEAT_AGE_MS = 1_200;
 
   /**
-   * Whom the store has answered so lately it does not leave without answers in general. Less than
-   * the age at which knowledge of targets forbids sends, so that they go on if it is away.
+   * If the store has answered another gateway within this time, it does not count as silent.
+   * Shorter than the age from which sends are forbidden because of outdated targets, so that sends
+   * continue during a store outage.
    */
   private static final long RECENT_STORE_ANSWER_MS = 1_700;
 
-  /** The store usually answers a process that starts within a few milliseconds. */
+  /**
+   * Delay before seed peers are queried; the store usually answers a starting process within a few
+   * milliseconds.
+   */
   private static final long SEED_QUERY_DELAY_MS = 500;
 
   private final PeerNetwork network;
@@ -123,7 +141,7 @@
   private UpperTime holderHeard;
   private UpperTime lastFreshBeat;
 
-  /** When the store last answered another gateway, as far as is known. */
+  /** The latest time at which the store is known to have answered another gateway. */
   private volatile UpperTime storeAnsweredOthers = UpperTime.NEVER;
 
   private boolean followsHolder;
@@ -213,7 +231,7 @@
         pauseMs.getAsLong());
   }
 
-  /** This gateway holds the term now, or no longer. */
+  /** Sets the coordinator while this gateway holds the term; empty once it does not. */
   void setCoordinator(Optional<TermCoordinator> now) {
     holderHeard = clock.upper();
     followsHolder = false;
@@ -254,7 +272,7 @@
         || message instanceof TargetTimesReport
         || message instanceof TargetReplaced
         || message instanceof TargetRestsReport) {
-      coordinator.ifPresent(d -> d.onReport(message));
+      coordinator.ifPresent(current -> current.onReport(message));
     } else if (message instanceof FleetBeat beat) {
       onBeat(sender, beat);
     } else if (message instanceof FollowerBeat beat) {
@@ -296,8 +314,8 @@
   }
 
   /**
-   * What is known of the targets must not grow old unnoticed, for whatever reason: the holder is
-   * gone, or cut off, or a change that it told was lost.
+   * Keeps the known targets from growing outdated unnoticed: the holder may have ended or be cut
+   * off, or a change that it sent may have been lost.
    */
   private void checkAge() {
     if (coordinator.isPresent()) {
@@ -313,9 +331,9 @@
   }
 
   /**
-   * Tells whether the store leaves the fleet without an answer, as far as this gateway knows. One
-   * that it refuses alone, or that gave its calls up by itself, has to hear from others. For any
-   * thread.
+   * Returns whether the store answers no gateway, as far as this one knows. If the store refuses
+   * only this gateway, or this gateway gave its calls up by itself, it learns that from the other
+   * gateways. Thread-safe.
    */
   private boolean isStoreSilent() {
     return isStoreSilentToThisGateway()
@@ -332,13 +350,16 @@
         || (targetsUnknown && firstListingDueMs.filter(due -> clock.nowMs() >= due).isPresent());
   }
 
-  /** This host was suspended: the holder and its deputies are asked at once. */
+  /** Queries the holder and its deputies at once after this host resumes from a suspension. */
   void onWoken() {
     onHelloDue();
     queryDeputies();
   }
 
-  /** While nothing is known, some gateways of the fleet are asked; the store may be silent. */
+  /**
+   * Queries the seed peers while the configuration or the holder is unknown, since the store may be
+   * silent.
+   */
   private void querySeedPeers() {
     boolean lost = state.current().configuration().isEmpty() || holderAddress.isEmpty();
     if (lost && clock.nowMs() - startedMs > SEED_QUERY_DELAY_MS) {
@@ -346,7 +367,10 @@
     }
   }
 
-  /** The holder has missed a beat, or the store does not answer it: others may know more. */
+  /**
+   * Queries deputies if no fresh beat has arrived in time: the holder has missed one, or the store
+   * does not answer it, and other gateways may have newer state.
+   */
   private void queryDeputies() {
     boolean overdue =
         clock.upper().sinceMs(lastFreshBeat) > timings.helloIntervalMs() + MAX_BEAT_DELAY_MS;
@@ -421,8 +445,8 @@
   }
 
   /**
-   * Takes the holder's answer to a hello. How long it was under way is not known: it is as new as
-   * the hello.
+   * Handles the answer of the holder to a hello. The time that the beat was in transit is unknown,
+   * so its content is taken to be as old as the hello.
    */
   private void onBeat(PeerChannel holder, FleetBeat beat) {
     UpperTime helloSent = new UpperTime(beat.helloSentMs());
@@ -451,8 +475,9 @@
   }
 
   /**
-   * The holder's word confirms only the targets that it has told. A gateway that looks itself
-   * follows the holder again once that knows nearly as much.
+   * Confirms the known targets if this gateway has received every change that the holder has sent.
+   * A gateway that follows the registry itself returns to the holder once the state of the holder
+   * is nearly as new.
    */
   private void confirmTargets(FleetBeat beat, UpperTime helloSent) {
     TargetsPush received = view.targets();
@@ -516,7 +541,10 @@
     state.update(snapshot -> snapshot.withOwners(owners, version));
   }
 
-  /** A process that starts while the store is silent learns here what it needs. */
+  /**
+   * Sends the configuration, the holder, the targets and the routes to a process that has just
+   * started, which may get no answer from the store.
+   */
   private void sendSnapshot(PeerChannel sender) {
     StoreValue known = configuration.newest().orElse(new StoreValue(new byte[0], 0));
     sender.send(
@@ -528,12 +556,16 @@
             view.routes()));
   }
 
-  /** Tells whether most of the other gateways have lately said hello to this one, the holder. */
+  /**
+   * Returns whether most of the other gateways have recently sent a hello to this one, the holder.
+   */
   boolean hasMajorityOfFollowers() {
     return subscribers.majorityHeardSince(clock.nowMs() - 2 * timings.helloIntervalMs());
   }
 
-  /** The configuration changed: whoever does not hear of it from the store looks again at once. */
+  /**
+   * Announces a new configuration revision; gateways that do not follow the store query it at once.
+   */
   void announceConfiguration(long revision) {
     if (coordinator.isPresent()) {
       subscribers.sendToAll(new ConfigurationNews(revision, new byte[0]));
@@ -622,7 +654,7 @@
     subscribers.sendToAll(news);
   }
 
-  /** What the store says counts only until a holder says more. */
+  /** Applies what the store returned at start, until a holder supplies newer state. */
   private final class FirstLookListener implements FirstLook.Listener {
 
     @Override
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetMessenger.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetMessenger.java
@@ -2,12 +2,12 @@
 
 import io.cuminvalve.core.protocol.FleetMessage;
 
-/** Whom a gateway can tell something. For the control thread. */
+/** Sends messages to other gateways of the fleet. For use on the control thread. */
 interface FleetMessenger {
 
-  /** Tells every gateway that follows this one, the holder of the term. */
+  /** Sends a message to every gateway that follows this one, the term holder. */
   void sendToFollowers(FleetMessage message);
 
-  /** Tells one process. */
+  /** Sends a message to the gateway at a peer address. */
   void tell(String address, FleetMessage message);
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetView.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetView.java
@@ -19,18 +19,21 @@
 import java.util.Map;
 
 /**
- * The targets and the owners of keys as the holder of the term told them last.
+ * The targets and the owners of keys that the term holder published last.
  *
- * <p>The holder keeps what it has told, to tell only what changes; the others keep what they heard,
- * to patch it and to pass it on to a process that has just started. All methods are for the control
- * thread.
+ * <p>The holder keeps what it has published in order to send only differences. The other gateways
+ * keep what they have received in order to apply differences to it and to pass it on to a process
+ * that has just started. All methods run on the control thread.
  */
 final class FleetView {
 
   private TargetsPush targets = new TargetsPush(0, 0, List.of());
   private RoutesPush routes = new RoutesPush(0, 0, List.of());
 
-  /** The newest targets that were taken, also if they have to be told again. */
+  /**
+   * Term and version of the newest targets applied; kept when {@link #invalidateTargets} requests
+   * them again.
+   */
   private long newestTerm;
 
   private long newestVersion;
@@ -67,7 +70,10 @@
         departureDigest);
   }
 
-  /** Notes what this process, as the holder, knows now. Returns what the others have to hear. */
+  /**
+   * Publishes the current targets of this process, the holder. Returns the message for the other
+   * gateways: all targets at the start of a term, otherwise the difference.
+   */
   FleetMessage publishTargets(long term, long version, List<FleetTarget> now) {
     TargetsPush before = targets;
     targets = new TargetsPush(term, version, now);
@@ -87,7 +93,10 @@
         term, before.version(), version, written, List.copyOf(removed.keySet()));
   }
 
-  /** Notes what this process, as the holder, decided now. Returns what the others have to hear. */
+  /**
+   * Publishes the current owners decided by this process, the holder. Returns the message for the
+   * other gateways: all owners at the start of a term, otherwise the difference.
+   */
   FleetMessage publishRoutes(long term, long version, List<ServiceRanges> now) {
     RoutesPush before = routes;
     routes = new RoutesPush(term, version, now);
@@ -106,12 +115,17 @@
     return new RoutesChange(term, before.version(), version, changed);
   }
 
-  /** The holder has fallen silent: what it told of the targets has to be told again. */
+  /**
+   * Marks the targets as outdated after the holder fell silent, so that the next hello requests all
+   * of them.
+   */
   void invalidateTargets() {
     targets = new TargetsPush(0, 0, targets.targets());
   }
 
-  /** Takes the owners as the store has them, unless a holder told more. Tells whether it did. */
+  /**
+   * Applies the owners read from the store, unless some are known already. Returns whether it did.
+   */
   boolean applyStored(List<ServiceRanges> owners) {
     boolean unknown = routes.term() == 0 && routes.services().isEmpty();
     if (unknown) {
@@ -120,7 +134,7 @@
     return unknown;
   }
 
-  /** Takes all targets. Tells whether they are news: those of an earlier term are not. */
+  /** Replaces all targets if the message is not outdated. Returns whether it did. */
   boolean apply(TargetsPush push) {
     long term = Math.max(routes.term(), newestTerm);
     boolean later = push.term() > newestTerm || push.version() >= newestVersion;
@@ -132,7 +146,7 @@
     return newer;
   }
 
-  /** Takes all owners. Tells whether they are news. */
+  /** Replaces all owners if the message is newer. Returns whether it did. */
   boolean apply(RoutesPush push) {
     boolean sameTerm = push.term() == routes.term();
     boolean newer = push.term() > routes.term() || (sameTerm && push.version() > routes.version());
@@ -142,7 +156,7 @@
     return newer;
   }
 
-  /** Patches the targets. Tells whether it could: a change before this one may be missing. */
+  /** Applies a difference to the targets. Returns false if an earlier difference may be missing. */
   boolean apply(TargetsChange change) {
     boolean fits = change.term() == targets.term() && change.fromVersion() == targets.version();
     if (!fits) {
@@ -156,7 +170,7 @@
     return true;
   }
 
-  /** Patches the owners. Tells whether it could: a change before this one may be missing. */
+  /** Applies a difference to the owners. Returns false if an earlier difference may be missing. */
   boolean apply(RoutesChange change) {
     boolean fits = change.term() == routes.term() && change.fromVersion() == routes.version();
     if (!fits) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderState.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderState.java
@@ -3,15 +3,15 @@
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.kernel.UpperTime;
 
-/** What the holder of the term knows that may forbid an order. For any thread. */
+/** State of the term holder that may forbid a lease order. Thread-safe. */
 interface HolderState {
 
   /** Returns when the store last confirmed the term; not null. */
   UpperTime termConfirmed();
 
-  /** Returns for how long the term counts without that; milliseconds. */
+  /** Returns the maximum age of that confirmation; milliseconds. */
   long termMaxAgeMs();
 
-  /** Tells whether a run of a target is known to have ended. */
+  /** Returns whether a target instance is known to have ended. */
   boolean hasEnded(TargetId target);
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
@@ -7,10 +7,12 @@
 import io.cuminvalve.kernel.UpperTime;
 import java.util.function.BooleanSupplier;
 
-/** What the holder of the term knows, at the first byte of an order, that may forbid it. */
+/** Conditions of the term holder that are checked at the first byte of a lease order. */
 final class OrderFacts implements SendFacts {
 
-  /** An order that took longer to begin is decided on anew. */
+  /**
+   * Maximum time from the decision to the first byte; a later order is withheld and decided again.
+   */
   static final long DECISION_MAX_AGE_MS = 400;
 
   private final HolderState state;
@@ -21,10 +23,10 @@
   /**
    * Creates the facts of one order.
    *
-   * @param state what the holder knows; not null
+   * @param state state of the term holder; not null
    * @param holdsTerm whether this process still holds the term; not null
-   * @param target whom the order is for; not null
-   * @param decided when it was decided on; not null
+   * @param target target of the order; not null
+   * @param decided when the order was decided; not null
    */
   OrderFacts(HolderState state, BooleanSupplier holdsTerm, TargetId target, UpperTime decided) {
     this.state = state;
@@ -40,7 +42,8 @@
           SendFact.heard(holdsTerm.getAsBoolean(), state.termConfirmed(), state.termMaxAgeMs());
       case DECISION_RECENT -> SendFact.heard(true, decided, DECISION_MAX_AGE_MS);
       case TARGET_RUNS -> SendFact.local(!state.hasEnded(target), now);
-      default -> throw new IllegalArgumentException("no condition of an order: " + condition);
+      default ->
+          throw new IllegalArgumentException("not a condition of a lease order: " + condition);
     };
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
@@ -22,13 +22,18 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Sends the orders of a desk to the targets and brings the answers back. */
+/**
+ * Sends lease orders (grants and releases) to the targets and passes the replies to the lease desk.
+ */
 final class OrderSender {
 
-  /** One that does not answer must not hold up the others. */
+  /** Limit per target, so that a target that does not answer cannot block orders to the others. */
   private static final int MAX_PER_TARGET = 6;
 
-  /** A new holder has to grant everything at once, on a processor that is not warm yet. */
+  /**
+   * Limit for all targets together: a new holder has to grant all ranges at once, on a JVM that is
+   * not warmed up yet.
+   */
   private static final int MAX_IN_FLIGHT = 60;
 
   private final LeaseControl leases;
@@ -71,7 +76,12 @@
     closed = true;
   }
 
-  /** Takes a place for one more order, unless a target has enough to do, or all have. */
+  /**
+   * Reserves a slot for one order to a target.
+   *
+   * @return false if the target, or all targets together, already have the maximum number of orders
+   *     in flight
+   */
   boolean tryReserve(TargetId target) {
     int toTarget = inFlight.getOrDefault(target, 0);
     if (toTarget >= MAX_PER_TARGET || totalInFlight >= MAX_IN_FLIGHT) {
@@ -104,7 +114,9 @@
     return leases.release(address, (LeaseOrder.Release) order, maySend);
   }
 
-  /** Called on a thread of the client, once there is a connection. */
+  /**
+   * Checks right before the first byte, on a client thread, whether the order may still be sent.
+   */
   private boolean maySend(LeaseOrder order, UpperTime decided) {
     SendFacts facts = new OrderFacts(state, () -> !closed, order.target(), decided);
     SendKind kind = order instanceof LeaseOrder.Grant ? SendKind.GRANT : SendKind.RELEASE;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OwnershipStore.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OwnershipStore.java
@@ -18,17 +18,18 @@
 import java.util.function.Function;
 
 /**
- * Reads and writes the assignments of all services in the store, for one term.
+ * Reads and writes the ownership tables of all services in the store, for one term.
  *
- * <p>Each write replaces exactly what was read or written last. So a holder that was replaced
- * cannot write any more once its successor has written once. A write without an answer is looked up
- * before the next one. For the control thread.
+ * <p>Each write is a compare-and-set on the revision that was read or written last. A holder that
+ * was replaced can therefore not write any more once its successor has written. After a write
+ * without an answer the record is read back before the next write. All methods run on the control
+ * thread.
  *
  * @since 0.2
  */
 final class OwnershipStore {
 
-  /** Where the assignments are kept. */
+  /** Store key of the ownership record. */
   static final String KEY = "cuminvalve/owners";
 
   private static final long RETRY_MS = 200;
@@ -56,7 +57,7 @@
     closed = true;
   }
 
-  /** Tells whether the store has come back from an older copy since a record was written. */
+  /** Returns whether the store was restored from an older copy after this record was written. */
   boolean isFromEpochBefore(OwnershipRecord record) {
     return record.storeEpoch() < store.epoch();
   }
@@ -65,7 +66,7 @@
     return writing;
   }
 
-  /** Reads until the store answers, then passes the record on. */
+  /** Reads the record, with retries until the store answers, and passes it to the callback. */
   void read(Consumer<Optional<OwnershipRecord>> onRead) {
     if (!closed) {
       store.read(KEY).thenAcceptAsync(result -> onReadResult(result, onRead), control);
@@ -94,11 +95,11 @@
   }
 
   /**
-   * Writes tables. One write at a time.
+   * Writes the tables. Only one write may be in progress at a time.
    *
-   * @param addressOf finds the address of a target that they name
-   * @param onDone called once they are durable
-   * @param onConflict called with what is stored instead, if somebody else wrote
+   * @param addressOf returns the address of a target named in the tables
+   * @param onDone called once the tables are durable
+   * @param onConflict called with the stored record if another process wrote it
    */
   void write(
       List<OwnershipTable> tables,
@@ -131,11 +132,11 @@
   }
 
   /**
-   * Sorts out a write that was refused or not answered.
+   * Resolves a write that was rejected or not answered.
    *
-   * <p>A record of a later term ends the writing for good: what was read must not serve to replace
-   * it. A record of an earlier term counts only before the first write of this term; afterwards the
-   * holder itself knows better, and writes again.
+   * <p>A record of a later term ends all writing: the revision just read must not be used to
+   * replace that record. A record of an earlier term is reported only before the first write of
+   * this term; after that, the holder has the newer state and writes again.
    */
   private void onReadBack(
       Optional<OwnershipRecord> found, Consumer<Optional<OwnershipRecord>> onConflict) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerMessenger.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerMessenger.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.wire.PeerNetwork;
 
-/** The other gateways, over the network. For the control thread. */
+/** Sends messages to other gateways over the peer network. For use on the control thread. */
 class PeerMessenger implements FleetMessenger {
 
   private final PeerNetwork network;
@@ -24,7 +24,7 @@
     network.send(address, message);
   }
 
-  /** Returns how many gateways follow this one, the holder of the term. */
+  /** Returns the number of gateways that follow this one, the term holder. */
   public int followers() {
     return subscribers.count();
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerReliance.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerReliance.java
@@ -4,20 +4,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * How far a process relies on other gateways for what the store holds.
+ * How far a process relies on other gateways instead of the store.
  *
- * @param maxAgeMs how old knowledge may be before the process looks for itself; milliseconds; not
- *     null
- * @param usesPeersOnly whether it asks the store nothing while others confirm what it knows;
- *     otherwise it has a long wait of its own there; not null
+ * @param maxAgeMs maximum age of state confirmed by others before the process queries the store
+ *     itself; milliseconds; not null
+ * @param usesPeersOnly whether the process sends no calls to the store while others confirm its
+ *     state; otherwise it keeps a long watch open; not null
  * @since 0.2
  */
 public record PeerReliance(LongSupplier maxAgeMs, BooleanSupplier usesPeersOnly) {
 
   /**
-   * Returns the reliance of a process that always waits at the store itself.
+   * Returns the reliance of a process that always keeps a watch on the store.
    *
-   * @param maxAgeMs how old knowledge may be before its waits become short; milliseconds; not null
+   * @param maxAgeMs maximum age of state before its watches become short; milliseconds; not null
    * @return never null
    */
   public static PeerReliance partial(LongSupplier maxAgeMs) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RateLimitCapacity.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RateLimitCapacity.java
@@ -7,18 +7,18 @@
 import java.util.function.Function;
 
 /**
- * Tells how many busy slots a target can bear, so that load is evened out by what targets with a
- * limit really take.
+ * Computes the load that a target can take, in busy slots, so that load is balanced by what targets
+ * with a rate limit actually accept.
  *
- * <p>A limit counts requests and load is measured in busy slots: the mean work of a request of the
- * service turns one into the other.
+ * <p>A rate limit counts requests and load is measured in busy slots; the mean work per request of
+ * the service converts one into the other.
  */
 final class RateLimitCapacity {
 
-  /** A target with a limit near 0 still is some target. */
+  /** Lower bound, so that a target with a limit near 0 keeps a capacity above 0. */
   private static final double MIN_SLOTS = 0.01;
 
-  /** Weight of the newest report, for each request in it. */
+  /** Weight of a new report in the moving average, per request in it. */
   private static final double WEIGHT_PER_REQUEST = 0.01;
 
   private static final double MS_PER_S = 1_000;
@@ -30,7 +30,7 @@
     this.limits = limits;
   }
 
-  /** Takes the work of some requests; milliseconds. */
+  /** Adds the work of some requests to the mean; milliseconds. */
   void onWork(int[] workMs, int requests) {
     if (requests <= 0) {
       return;
@@ -40,7 +40,7 @@
     meanWorkMs += weight * (reportedMs - meanWorkMs);
   }
 
-  /** Returns what a target can bear; busy slots, above 0. */
+  /** Returns the capacity of a target; busy slots, above 0. */
   double of(FleetTarget target) {
     OptionalDouble perS = limits.apply(target.id());
     if (perS.isEmpty() || meanWorkMs == 0) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
@@ -9,15 +9,17 @@
 import java.util.function.IntSupplier;
 
 /**
- * Knows, as the holder of the term, which targets have asked gateways for rest. For the control
- * thread.
+ * Keeps track, in the term holder, of targets that have asked gateways for a rest: a back-off
+ * period without requests. For use on the control thread.
  */
 final class RestingTargets {
 
-  /** A rest that is over sooner costs callers less than moving the keys. */
+  /** Shorter rests are ignored: they cost clients less than moving the keys. */
   private static final long MIN_REST_MS = 500;
 
-  /** A target that has turned so many gateways away turns the others away, too. */
+  /**
+   * Number of gateways from which on a target counts as resting; it will turn the others away too.
+   */
   private static final int RESTING_QUORUM = 3;
 
   private final MillisClock clock;
@@ -29,7 +31,7 @@
     this.gatewayCount = gatewayCount;
   }
 
-  /** A gateway leaves targets alone. */
+  /** Handles a report of a gateway about the targets that it sends nothing to for now. */
   void onReport(TargetRestsReport report) {
     removeExpired();
     for (TargetRest rest : report.rests()) {
@@ -41,7 +43,10 @@
     }
   }
 
-  /** Tells whether a target rests: for half of the gateways, or enough of them. */
+  /**
+   * Returns whether a target has asked at least half of the gateways, or {@link #RESTING_QUORUM} of
+   * them, for a rest.
+   */
   boolean isResting(TargetId target) {
     Map<String, Long> ends = endsMs.get(target);
     if (ends == null) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
@@ -32,40 +32,52 @@
 import java.util.function.Predicate;
 
 /**
- * Decides for one service which target is to own which keys.
+ * Plans which target owns which keys of one service.
  *
- * <p>Keys of targets that leave, or rest, are spread at once; otherwise load is evened out at a
- * pace. All methods are for the control thread.
+ * <p>Keys of targets that leave, or that have asked for a rest (back-off), are redistributed at
+ * once. Other load is rebalanced at intervals. All methods run on the control thread.
  */
 final class ServicePlanner {
 
-  /** Targets register one after the other: the first assignment waits for a pause this long. */
+  /**
+   * The first assignment waits until the number of targets has not changed for this long, since
+   * targets register one after the other.
+   */
   private static final long SETTLE_MS = 2_000;
 
-  /** It waits no longer than this; without it nothing is served. */
+  /** Upper bound on that wait: no request of the service is served before the first assignment. */
   private static final long MAX_SETTLE_MS = 6_000;
 
-  /** Pause between two looks at the load. */
+  /** Interval between two rebalancing runs. */
   private static final long BALANCE_INTERVAL_MS = 250;
 
-  /** Pause between two looks for fragments, and so the least time that one is left alone. */
+  /**
+   * Interval between two searches for fragmented ranges, and so the minimum time for which a new
+   * fragment is left in place.
+   */
   private static final long TIDY_INTERVAL_MS = 500;
 
-  /** A measurement counts for about this long: hot keys come and go within seconds. */
+  /**
+   * Time constant of the decay of load measurements; short, since hot keys come and go within
+   * seconds.
+   */
   private static final double LOAD_TIME_CONSTANT_MS = 2_000;
 
-  /** Share of busy slots from which on requests often wait in a target's queue. */
+  /** Share of busy slots above which requests often wait in the queue of a target. */
   private static final double BUSY_SHARE = 0.7;
 
-  /** Into how many parts the keys of a target that leaves are cut at most. */
+  /** Maximum number of parts into which a range of a leaving target is split. */
   private static final int MAX_PARTS = 4;
 
-  /** Narrower ranges with less load are given away whole: each part is a lease. */
+  /**
+   * Ranges with fewer keys and at most {@link #HEAVY_LOAD} are not split, since each part is a
+   * lease.
+   */
   private static final int WIDE_RANGE_KEYS = 1_024;
 
   private static final double HEAVY_LOAD = 0.4;
 
-  /** Requests that a target takes at once for each of its slots, those in its queue included. */
+  /** Requests that a target accepts at the same time per slot, including those in its queue. */
   private static final int QUEUED_PER_SLOT = 5;
 
   private final ServiceId service;
@@ -111,12 +123,12 @@
     return desk;
   }
 
-  /** Tells whether gateways have to hear of {@link #routes()}. */
+  /** Returns whether {@link #routes()} has changed since it was last called. */
   boolean routesChanged() {
     return refusalsChanged || desk.routesChanged();
   }
 
-  /** Returns where requests go now, and marks it as told. */
+  /** Returns the current routes and marks them as published. */
   List<RangeRoute> routes() {
     refusalsChanged = false;
     return desk.routes(range -> refusedPercent.getOrDefault(range, 0));
@@ -133,7 +145,10 @@
     }
   }
 
-  /** A busy target's times tell more of its queue than of its speed. */
+  /**
+   * Takes response times of a target. Times of a busy target are ignored, since they reflect its
+   * queue rather than its speed.
+   */
   void onTargetTime(TargetTime time) {
     if (!busyTargets.contains(time.target())) {
       speeds.onAnswers(time.target(), time.meanRelativeTime(), time.answers());
@@ -141,11 +156,11 @@
   }
 
   /**
-   * Decides what has to be moved.
+   * Decides which keys have to be moved.
    *
-   * @param storeAnswers whether a move can be written now: until it is, its keys are closed. Moves
-   *     that only even out load wait for that. On a day with the store away for 8 s, that spares
-   *     callers a tenth of all refusals
+   * @param storeAnswers whether a move can be written now. Its keys stay closed until it is
+   *     written, so moves that only balance load wait until the store answers; during a store
+   *     outage of 8 s this avoids a tenth of all refusals
    */
   void plan(TargetRegister register, int gateways, boolean storeAnswers, long nowMs) {
     List<FleetTarget> ready = new ArrayList<>(register.of(service));
@@ -175,7 +190,11 @@
     }
   }
 
-  /** In a narrow fleet each gateway's own limit protects the targets, and needs no report. */
+  /**
+   * Sets the share of requests to refuse per range. This is needed only if there are more gateways
+   * than a target queues requests; in smaller fleets the local limit of each gateway protects the
+   * targets without any report.
+   */
   private void refuseExcess(List<TargetLoad> targets, int gateways) {
     int mostSlots = targets.stream().mapToInt(TargetLoad::slots).max().orElse(0);
     boolean large = gateways > mostSlots * QUEUED_PER_SLOT;
@@ -195,8 +214,9 @@
   }
 
   /**
-   * Leaves out targets that rest: their keys are refused until they move. If most targets rest,
-   * there is too much load for the service, and no better place for keys.
+   * Removes resting targets: requests for their keys are refused until the keys move. If more than
+   * half of the targets rest, the whole service is overloaded and moving keys would not help, so
+   * all targets are kept.
    */
   private List<FleetTarget> withoutResting(List<FleetTarget> ready) {
     List<FleetTarget> reachable =
@@ -204,7 +224,7 @@
     return 2 * reachable.size() >= ready.size() ? reachable : ready;
   }
 
-  /** Gives the keys of targets that leave, or have left, to the least busy of the others. */
+  /** Moves the keys of targets that leave, or have left, to the least loaded remaining targets. */
   private void evacuate(List<FleetTarget> ready, long nowMs) {
     Set<TargetId> usable = new HashSet<>();
     ready.forEach(target -> usable.add(target.id()));
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
@@ -11,15 +11,15 @@
 import java.util.Map;
 
 /**
- * The gateways that follow this one, which holds the term.
+ * The gateways that follow this one while it holds the term.
  *
- * <p>Changes go to all of them as they happen. One that lacks what was sent to it before its last
- * hello has lost something on the way and gets everything again; what was sent since may still be
- * under way. All methods are for the control thread.
+ * <p>Changes are sent to all of them as they happen. A gateway whose hello shows that it lacks
+ * something sent before its previous hello has lost a message and is sent the full state again;
+ * what was sent since then may still be in transit. All methods run on the control thread.
  */
 final class Subscribers {
 
-  /** After this many pauses between two hellos without one a gateway no longer counts. */
+  /** Number of hello intervals without a hello after which a gateway is no longer counted. */
   private static final int SILENCE_TIMEOUT_HELLOS = 7;
 
   private final Map<String, Subscriber> byProcess = new HashMap<>();
@@ -27,13 +27,13 @@
   private int peakCount;
 
   /**
-   * Takes a hello. Sends what the sender lacks of what was decided in a term.
+   * Handles a hello and sends the state of the given term that the sender lacks.
    *
-   * @param sender where the hello came from; not null
-   * @param hello what the sender knows; not null
+   * @param sender channel on which the hello arrived; not null
+   * @param hello versions that the sender has; not null
    * @param term the term of this process
-   * @param view what this process knows; not null
-   * @param nowMs the time; milliseconds
+   * @param view state published by this process; not null
+   * @param nowMs the current time; milliseconds
    */
   void onHello(PeerChannel sender, FleetHello hello, long term, FleetView view, long nowMs) {
     Subscriber known = byProcess.get(hello.process());
@@ -74,7 +74,10 @@
     }
   }
 
-  /** Returns the peer addresses of those that follow the store beside this process. */
+  /**
+   * Returns the peer addresses of the deputies, the gateways that follow the store in addition to
+   * this process.
+   */
   List<String> deputies() {
     return deputies;
   }
@@ -85,7 +88,10 @@
     deputies = DeputyChoice.choose(candidates);
   }
 
-  /** Tells whether at least half of all that ever followed have said hello since a time. */
+  /**
+   * Returns whether at least half of the highest number of followers so far have sent a hello since
+   * a time.
+   */
   boolean majorityHeardSince(long atMs) {
     long heard = byProcess.values().stream().filter(known -> known.heardMs >= atMs).count();
     return 2 * heard >= peakCount;
@@ -101,7 +107,7 @@
     deputies = List.of();
   }
 
-  /** A gateway that said hello. */
+  /** A gateway that has sent a hello, with the versions that its next hello should have reached. */
   private static final class Subscriber {
 
     private final PeerChannel channel;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
@@ -42,41 +42,48 @@
 import java.util.function.Function;
 
 /**
- * What the holder of the term does: follows the targets, assigns keys, keeps the leases going.
+ * Coordinates the fleet while this process holds the term: follows the registry of targets, assigns
+ * keys to targets and renews their leases.
  *
- * <p>One object for one term. It acts on nothing before it has read what earlier holders wrote and
- * has written that itself, so that they can write no more. All methods are for the control thread.
+ * <p>One object serves one term. It takes no action before it has read what earlier holders wrote
+ * to the store and has written that itself, which fences off their later writes. All methods run on
+ * the control thread.
  *
  * @since 0.2
  */
 final class TermCoordinator {
 
-  /** Tells the gateways of the fleet. */
+  /** Receives what has to be sent to the other gateways. */
   interface Listener {
 
-    /** The targets changed. */
+    /** Handles a new list of targets. */
     void onTargets(long term, long version, List<FleetTarget> targets);
 
-    /** The owners changed. */
+    /** Handles new owners of key ranges. */
     void onRoutes(long term, long version, List<ServiceRanges> services);
   }
 
   private static final long CYCLE_MS = 50;
 
   /**
-   * Room for tokens within one term: each grant takes one, at most 200 a second, which lasts for 23
-   * hours; then the term ends, and the next one has as much room.
+   * Number of low bits of a token that count the grants of one term. Each grant uses one token; at
+   * 200 grants per second, the highest rate, they last for 23 hours. Then the term ends, and the
+   * next term has as many.
    */
   private static final int TOKEN_BITS = 24;
 
   private static final long MAX_TOKENS = (1L << TOKEN_BITS) - 1_000_000;
 
   /**
-   * Pause between two changes of owners that are told, for each gateway: each gets its own copy.
+   * Minimum interval between two publications of owners, per gateway in the fleet: each gateway is
+   * sent its own copy.
    */
   private static final double PUBLISH_MS_PER_GATEWAY = 0.5;
 
-  /** A record of proofs may wait this long for a write that is needed anyway. */
+  /**
+   * Time for which a write that only removes previous owners is delayed, so that it can join a
+   * write that is needed anyway.
+   */
   private static final long CLEANUP_DELAY_MS = 2_000;
 
   private final GatewayPorts ports;
@@ -185,7 +192,7 @@
     return term;
   }
 
-  /** Returns how long ago the store last confirmed the term; milliseconds. */
+  /** Returns the time since the store last confirmed the term; milliseconds. */
   long termAgeMs() {
     return clock.upper().sinceMs(termLease.confirmed());
   }
@@ -194,7 +201,7 @@
     return follower.confirmed();
   }
 
-  /** Tells whether the store leaves the holder without an answer. For any thread. */
+  /** Returns whether the store does not answer the registry calls of this process. Thread-safe. */
   boolean isStoreSilent() {
     return follower.isSilent();
   }
@@ -215,8 +222,8 @@
   }
 
   /**
-   * Another target is said to answer at the address of this one: its keys move away, once a release
-   * that is sent there has shown who holds them.
+   * Handles a report that another target answers at the address of this one. Its keys move once a
+   * release sent to that address has shown who holds them.
    */
   private void onReplacedTarget(TargetId id) {
     if (!ended.contains(id)) {
@@ -225,7 +232,7 @@
     }
   }
 
-  /** Returns every lease that may still be in force. */
+  /** Returns all leases that may still be in force. */
   List<LeaseLeft> leasesLeft() {
     List<LeaseLeft> result = new ArrayList<>();
     long nowMs = clock.nowMs();
@@ -234,9 +241,10 @@
   }
 
   /**
-   * Learns what an earlier holder granted. Only the one that wrote last knows everything.
+   * Takes the leases that an earlier holder granted. Only the list of the holder that wrote to the
+   * store last is complete.
    *
-   * @return whether it is the one that wrote last, as far as is known yet
+   * @return whether the list comes from the last writer, as far as is known yet
    */
   boolean onLeasesLeft(LeasesLeft left, long receivedMs) {
     boolean newer = foreignLeases.isEmpty() || left.term() > foreignLeases.get().term();
@@ -283,7 +291,7 @@
     storedTerm = found.map(OwnershipRecord::term).orElse(0L);
     storedMayBeStale = found.filter(ownership::isFromEpochBefore).isPresent();
     if (found.isEmpty() && storeRestored) {
-      // There may have been a record, with owners that still hold their keys.
+      // A record may have been lost in the restore; its owners may still hold their leases.
       idleUntilMs = startedMs + timings.foreignLeaseMs();
     }
     planners.clear();
@@ -298,7 +306,7 @@
     runCycle();
   }
 
-  /** What the registry says is newer than what an earlier holder wrote. */
+  /** Records a stored address unless the registry has supplied a newer one. */
   private void recordStoredAddress(TargetAddress stored) {
     lastAddresses.putIfAbsent(stored.target(), stored.address());
   }
@@ -307,7 +315,7 @@
     return Optional.ofNullable(lastAddresses.get(id));
   }
 
-  /** Some targets have said that they leave, whatever is registered. */
+  /** Handles targets that have announced their departure, whatever the registry says. */
   void onDepartures() {
     onTargets();
   }
@@ -350,9 +358,10 @@
   }
 
   /**
-   * Finds targets that have ended: another one was registered at their address later.
+   * Returns targets that have ended, since another one was registered at their address later.
    *
-   * <p>Two that were seen for the first time together tell nothing: either may be the older one.
+   * <p>If both were first seen in the same listing, neither is returned: the order in which they
+   * were registered is unknown.
    */
   private Set<TargetId> replacedTargets() {
     Set<TargetId> replaced = new HashSet<>();
@@ -374,8 +383,8 @@
   }
 
   /**
-   * Acts once for all answers that have arrived by then: each look at all ranges takes the longer
-   * the more there are, and so do the answers that wait meanwhile.
+   * Schedules one cycle for all answers that arrive until it runs. A cycle visits every range, so
+   * one cycle per answer would delay the answers behind it when there are many ranges.
    */
   private void scheduleCycle() {
     if (!cyclePending) {
@@ -447,7 +456,7 @@
     if (table != null && !table.assignments().isEmpty()) {
       desk.takeOver(table, clock.nowMs(), startedMs + timings.foreignLeaseMs());
       if (storedMayBeStale) {
-        // Moves that were written later are lost: the owners named here prove nothing.
+        // Later moves may have been lost in the restore, so the recorded owners may be outdated.
         desk.assumeUnknownOwners(startedMs + timings.foreignLeaseMs());
       } else {
         limitForeignLeases(desk);
@@ -463,7 +472,10 @@
     return (term << TOKEN_BITS) + tokenCount;
   }
 
-  /** A target that knows a higher token may know a higher term: ask before going on. */
+  /**
+   * Renews tokens that a target rejected as stale. The target may have seen a later term, so the
+   * store has to confirm this term first.
+   */
   private void renewStaleTokens() {
     boolean stale = planners.values().stream().anyMatch(s -> s.desk().hasStaleTokens());
     if (!stale) {
@@ -517,10 +529,11 @@
   }
 
   /**
-   * The store came back from an older copy: writes who owns what once more, before anybody else
-   * reads it. What was being written may be lost with the rest.
+   * Writes the ownership tables again after the store was restored from an older copy, before
+   * another process reads them. A write that was in progress may have been lost in the restore too.
    *
-   * @param onDone called once it is durable, or at once if this process does not know either
+   * @param onDone called once the tables are durable, or at once if this process does not know the
+   *     owners either
    */
   void rewrite(Runnable onDone) {
     if (!ready || storedMayBeStale || planners.isEmpty()) {
@@ -531,7 +544,10 @@
     }
   }
 
-  /** Somebody else wrote: a later holder, or an earlier one after this one had read. */
+  /**
+   * Handles a record that another process wrote: a later holder, or an earlier one after this
+   * process had read the store.
+   */
   private void onConflict(Optional<OwnershipRecord> found) {
     long other = found.map(OwnershipRecord::term).orElse(0L);
     log.write("owners_overtaken", "term={} by_term={}", term, other);
@@ -555,7 +571,7 @@
     listener.onRoutes(term, routesVersion, services);
   }
 
-  /** What may forbid an order when its first byte is due. */
+  /** Supplies the state that is checked right before the first byte of an order is sent. */
   private final class CurrentState implements HolderState {
 
     @Override
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/package-info.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/package-info.java
@@ -1,2 +1,5 @@
-/** What a gateway knows of the fleet, and its duties while it holds the term. */
+/**
+ * The control plane of a gateway: the state of the fleet, and the coordination of the fleet while
+ * this gateway holds the term, that is, leads it.
+ */
 package io.cuminvalve.gateway.control;
