--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -70,7 +70,7 @@
   /**
    * Age of the known targets from which this gateway queries the registry itself. It covers two
    * calls of the holder to a slow store, the pause between them and the longest interval between
-   * hellos; the rest of the 1.95 s is left for the own query.
+   * hellos; the rest of the 1.95 s after which sends are forbidden is left for its own query.
    */
   private static final long MAX_TARGETS_AGE_MS = 1_500;
 
@@ -222,13 +222,13 @@
     }
   }
 
-  private void repeat(Runnable task, LongSupplier pauseMs) {
+  private void repeat(Runnable task, LongSupplier intervalMs) {
     control.schedule(
         () -> {
-          repeat(task, pauseMs);
+          repeat(task, intervalMs);
           task.run();
         },
-        pauseMs.getAsLong());
+        intervalMs.getAsLong());
   }
 
   /** Sets the coordinator while this gateway holds the term; empty once it does not. */
@@ -594,8 +594,8 @@
   }
 
   private void onHello(PeerChannel sender, FleetHello hello) {
-    boolean knowsNothing = hello.targetsTerm() == 0 && hello.routesTerm() == 0;
-    if (knowsNothing || hello.configurationRevision() == 0) {
+    boolean hasNoState = hello.targetsTerm() == 0 && hello.routesTerm() == 0;
+    if (hasNoState || hello.configurationRevision() == 0) {
       sendSnapshot(sender);
     }
     if (coordinator.isPresent()) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetView.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetView.java
@@ -162,10 +162,10 @@
     if (!fits) {
       return false;
     }
-    Map<TargetId, FleetTarget> patched = byId(targets.targets());
-    change.removed().forEach(patched::remove);
-    change.written().forEach(target -> patched.put(target.id(), target));
-    targets = new TargetsPush(change.term(), change.version(), List.copyOf(patched.values()));
+    Map<TargetId, FleetTarget> updated = byId(targets.targets());
+    change.removed().forEach(updated::remove);
+    change.written().forEach(target -> updated.put(target.id(), target));
+    targets = new TargetsPush(change.term(), change.version(), List.copyOf(updated.values()));
     recordNewest();
     return true;
   }
@@ -176,13 +176,13 @@
     if (!fits) {
       return false;
     }
-    Map<ServiceId, List<RangeRoute>> patched = byService(routes.services());
+    Map<ServiceId, List<RangeRoute>> updated = byService(routes.services());
     for (ServiceRanges service : change.services()) {
-      List<RangeRoute> base = patched.getOrDefault(service.service(), List.of());
-      patched.put(service.service(), RangeRoutes.overlay(base, service.ranges()));
+      List<RangeRoute> base = updated.getOrDefault(service.service(), List.of());
+      updated.put(service.service(), RangeRoutes.overlay(base, service.ranges()));
     }
     List<ServiceRanges> services = new ArrayList<>();
-    patched.forEach((id, ranges) -> services.add(new ServiceRanges(id, ranges)));
+    updated.forEach((id, ranges) -> services.add(new ServiceRanges(id, ranges)));
     routes = new RoutesPush(change.term(), change.version(), services);
     return true;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
@@ -81,8 +81,8 @@
   private static final double PUBLISH_MS_PER_GATEWAY = 0.5;
 
   /**
-   * Time for which a write that only removes previous owners is delayed, so that it can join a
-   * write that is needed anyway.
+   * Maximum time for which a write that only removes previous owners is delayed, so that it can
+   * join a write that is needed anyway.
    */
   private static final long CLEANUP_DELAY_MS = 2_000;
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
@@ -21,13 +21,13 @@
   }
 
   @Test
-  void leasesRunOnWhileTheyAreRemembered() {
+  void remainingTimesShrinkWhileLeasesAreStored() {
     leases.onHeard(left(3, 1_000, 5_000), 100);
     assertThat(leases.leasesBefore(4, 2_100)).hasValue(left(3, 3_000));
   }
 
   @Test
-  void theNewestTermCounts() {
+  void theNewestTermIsReturned() {
     leases.onOwnTermEnded(left(5, 500), 0);
     leases.onHeard(left(3, 1_000), 0);
     assertThat(leases.leasesBefore(6, 0)).hasValue(left(5, 500));
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void onlyEarlierTermsAreTold() {
+  void onlyEarlierTermsAreReturned() {
     leases.onHeard(left(3, 1_000), 0);
     assertThat(leases.leasesBefore(3, 0)).isEmpty();
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
@@ -22,29 +22,30 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No request begins at a target more than 2 s after the registry took that it leaves, whatever is
- * slow, lost or cut off between the registry and a gateway that is itself in order.
+ * Checks that no request starts at a target more than 2 s after the registry accepted its
+ * departure, whatever is slow, lost or cut off between the registry and a gateway that works
+ * correctly itself.
  */
 class FleetLinkTest {
 
   private static final long DRAIN_MS = 2_000;
-  private static final long WATCHED_MS = 20_000;
+  private static final long OBSERVED_MS = 20_000;
   private static final String NEXT_HOLDER = "10.0.0.2:1";
   private static final FleetTarget READY = target(A, TargetPhase.READY);
   private static final FleetTarget DRAINING = target(A, TargetPhase.DRAINING);
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final VirtualRegistry registry = new VirtualRegistry(clock);
-  private final VirtualRegistry.Reader ownWay = registry.new Reader();
-  private final VirtualRegistry.Reader holdersWay = registry.new Reader();
-  private final FollowingGateway gateway = new FollowingGateway(clock, clock, ownWay, true);
+  private final VirtualRegistry.Reader ownReader = registry.new Reader();
+  private final VirtualRegistry.Reader holderReader = registry.new Reader();
+  private final FollowingGateway gateway = new FollowingGateway(clock, clock, ownReader, true);
 
   private FollowingGateway.Holder startHolder() {
     registry.put(READY);
     final FollowingGateway.Holder holder =
-        new FollowingGateway.Holder(clock, gateway, holdersWay, HOLDER, 1);
+        new FollowingGateway.Holder(clock, gateway, holderReader, HOLDER, 1);
     startGateway();
-    gateway.hear(HOLDER, gateway.beat(1, 0));
+    gateway.receive(HOLDER, gateway.beat(1, 0));
     clock.advance(5_000);
     assertThat(gateway.traffic.sendsTo(A)).isTrue();
     return holder;
@@ -54,10 +55,12 @@
     gateway.start();
   }
 
-  /** Returns how long after now the last request began at the target that leaves; milliseconds. */
+  /**
+   * Returns the time from now to the start of the last request at the leaving target; milliseconds.
+   */
   private long lastSentAfterMs() {
     long last = 0;
-    for (long ms = 1; ms <= WATCHED_MS; ms++) {
+    for (long ms = 1; ms <= OBSERVED_MS; ms++) {
       clock.advance(1);
       if (gateway.traffic.sendsTo(A)) {
         last = ms;
@@ -67,81 +70,91 @@
   }
 
   private void assertNothingIsSentLate(String when) {
-    assertWithMessage("last request begins so many ms after the target left, " + when)
+    assertWithMessage("time from the departure of the target to its last request, ms: " + when)
         .that(lastSentAfterMs())
         .isAtMost(DRAIN_MS);
   }
 
   @Test
-  void departuresAreHeardInTime() {
+  void departuresTakeEffectInTime() {
     startHolder();
     registry.put(DRAINING);
     assertNothingIsSentLate("nothing is slow");
   }
 
-  /** Guards against the sum of the timers: only the holder's calls of the registry are refused. */
+  /** Guards against timeouts that add up when the registry refuses only the calls of the holder. */
   @Test
-  void departuresAreHeardInTimeWhileTheRegistryRefusesTheHolder() {
+  void departuresTakeEffectInTimeWhileTheRegistryRefusesTheHolder() {
     startHolder();
     long worst = 0;
     for (int phaseMs = 0; phaseMs < 1_100; phaseMs += 50) {
       clock.advance(phaseMs);
-      holdersWay.setRefused(true);
+      holderReader.setRefused(true);
       clock.advance(2);
       registry.put(DRAINING);
       worst = Math.max(worst, lastSentAfterMs());
-      holdersWay.setRefused(false);
+      holderReader.setRefused(false);
       registry.remove(A);
       clock.advance(10_000);
       registry.put(READY);
       clock.advance(10_000);
     }
-    assertWithMessage("last request begins so many ms after the target left, of all phases")
+    assertWithMessage(
+            "time from the departure of the target to its last request, ms, in the worst phase")
         .that(worst)
         .isAtMost(DRAIN_MS);
   }
 
-  /** Guards against a first look of one's own on a connection that carries nothing any more. */
+  /**
+   * Guards against a delay if the first registry call of the gateway itself uses a connection that
+   * no longer carries data.
+   */
   @Test
-  void departuresAreHeardInTimeIfTheFirstLookIsSilent() {
+  void departuresTakeEffectInTimeIfTheFirstLookIsSilent() {
     startHolder();
-    holdersWay.setRefused(true);
-    ownWay.silenceNextListings(1);
+    holderReader.setRefused(true);
+    ownReader.silenceNextListings(1);
     registry.put(DRAINING);
-    assertNothingIsSentLate("and the first listing is silent");
+    assertNothingIsSentLate("the first listing is not answered");
   }
 
-  /** In a narrow fleet the end of the holder alone delays nothing for too long. */
+  /** In a small fleet the end of the holder alone must not delay departures for too long. */
   @Test
-  void departuresAreHeardInTimeIfTheHolderEnds() {
+  void departuresTakeEffectInTimeIfTheHolderEnds() {
     startHolder().end();
     registry.put(DRAINING);
     assertNothingIsSentLate("the holder of 2 gateways ended");
   }
 
-  /** Guards against the silence that wide fleets bear: the pauses between beats grow with them. */
+  /**
+   * Guards against a timeout for the silence of the holder that grows with the fleet, as the
+   * intervals between beats do.
+   */
   @Test
-  void departuresAreHeardInTimeInWideFleetsIfTheHolderEnds() {
+  void departuresTakeEffectInTimeInWideFleetsIfTheHolderEnds() {
     gateway.processes = 87;
     startHolder().end();
     registry.put(DRAINING);
     assertNothingIsSentLate("the holder of 87 gateways ended");
   }
 
-  /** Guards against the sum of the timers in wide fleets. */
+  /** Guards against timeouts that add up in large fleets. */
   @Test
-  void departuresAreHeardInTimeInWideFleetsWhileTheRegistryRefusesTheHolder() {
+  void departuresTakeEffectInTimeInWideFleetsWhileTheRegistryRefusesTheHolder() {
     gateway.processes = 87;
     startHolder();
-    holdersWay.setRefused(true);
+    holderReader.setRefused(true);
     clock.advance(2);
     registry.put(DRAINING);
     assertNothingIsSentLate("the registry refuses the holder of 87 gateways");
   }
 
-  /** Guards against an age that begins when a beat is looked at: the holder's link is slow. */
+  /**
+   * Guards against an age counted from the processing of a beat rather than from its hello: the
+   * link from the holder is slow.
+   */
   @Test
-  void departuresAreHeardInTimeOverSlowLinks() {
+  void departuresTakeEffectInTimeOverSlowLinks() {
     FollowingGateway.Holder holder = startHolder();
     holder.setDelayMs(2_600);
     clock.advance(10_000);
@@ -149,155 +162,172 @@
     assertNothingIsSentLate("the link from the holder takes 2.6 s");
   }
 
-  /** Guards against an age that begins when an answer is looked at: the holder's way is slow. */
+  /**
+   * Guards against an age counted from the processing of a registry answer rather than from its
+   * request: the connection of the holder to the registry is slow.
+   */
   @Test
-  void departuresAreHeardInTimeIfTheHoldersAnswersAreHeldUp() {
+  void departuresTakeEffectInTimeIfTheHoldersAnswersAreHeldUp() {
     startHolder();
-    holdersWay.setAnswerMs(2_600);
+    holderReader.setAnswerMs(2_600);
     clock.advance(10_000);
-    // The holder's word on another target ends the look of its own that this gateway had begun.
+    // A change of another target makes this gateway follow the holder again instead of the
+    // registry.
     registry.put(target(B, TargetPhase.DRAINING));
     clock.advance(10_000);
     registry.put(DRAINING);
     assertNothingIsSentLate("answers of the registry reach the holder after 2.6 s");
   }
 
-  /** Guards against a holder that takes its own short cut for an outage and keeps what is gone. */
+  /**
+   * Guards against a holder that takes its own brief disconnection for a registry outage and keeps
+   * targets that were removed meanwhile.
+   */
   @Test
-  void removalsAreHeardInTimeIfTheHolderAloneWasCutOffForShort() {
+  void removalsTakeEffectInTimeIfTheHolderAloneWasCutOffForShort() {
     startHolder();
-    holdersWay.setRefused(true);
+    holderReader.setRefused(true);
     clock.advance(1);
     registry.remove(A);
-    clock.schedule(1_500, () -> holdersWay.setRefused(false));
+    clock.schedule(1_500, () -> holderReader.setRefused(false));
     assertNothingIsSentLate("the holder alone was refused for 1.5 s");
   }
 
-  /** Guards against changes that are lost on their way while beats go on. */
+  /** Guards against changes that are lost in transit while beats still arrive. */
   @Test
-  void departuresAreHeardInTimeIfChangesAreLost() {
+  void departuresTakeEffectInTimeIfChangesAreLost() {
     FollowingGateway.Holder holder = startHolder();
-    holder.loseNextChanges(2);
+    holder.dropNextChanges(2);
     registry.put(DRAINING);
     clock.schedule(100, () -> registry.put(target(B, TargetPhase.READY)));
     assertNothingIsSentLate("two changes were lost");
   }
 
-  /** Guards against beats that vouch for targets of which this gateway lacks a change. */
+  /** Guards against beats that confirm the targets although this gateway has missed a change. */
   @Test
   void beatsDoNotConfirmTargetsOfWhichChangesAreMissing() {
-    hearTargets(new TargetsPush(1, 1, List.of(READY)));
-    final long toldMs = clock.nowMs();
+    receiveTargets(new TargetsPush(1, 1, List.of(READY)));
+    final long receivedMs = clock.nowMs();
     clock.advance(200);
     TargetsChange third =
         new TargetsChange(1, 2, 3, List.of(target(B, TargetPhase.READY)), List.of());
-    gateway.hear(HOLDER, third);
-    gateway.hear(HOLDER, gateway.beat(1, 10, 3, clock.upper().ms()));
+    gateway.receive(HOLDER, third);
+    gateway.receive(HOLDER, gateway.beat(1, 10, 3, clock.upper().ms()));
     long ageMs = clock.upper().sinceMs(gateway.state.targetsConfirmed());
-    assertWithMessage("age of the targets").that(ageMs).isAtLeast(clock.nowMs() - toldMs);
+    assertWithMessage("age of the targets").that(ageMs).isAtLeast(clock.nowMs() - receivedMs);
   }
 
-  /** Guards against a change that is noted but not used, between silence and a beat. */
+  /**
+   * Guards against a change that is recorded but not installed when it arrives between the silence
+   * timeout and the next beat.
+   */
   @Test
   void changesThatEndTheSilenceOfTheHolderAreUsed() {
-    hearTargets(new TargetsPush(1, 1, List.of(READY)));
-    // Turns of the pace are 300 ms apart: the last word comes 100 ms before one, so the fourth
-    // turn after it finds a silence of 1,000 ms if nothing comes before it.
+    receiveTargets(new TargetsPush(1, 1, List.of(READY)));
+    // Hellos are 300 ms apart. The last beat arrives 100 ms before one of them, so the fourth hello
+    // after it finds a silence of 1,000 ms unless another message arrives first.
     clock.advance(200);
-    gateway.hear(HOLDER, gateway.beat(1, 0));
+    gateway.receive(HOLDER, gateway.beat(1, 0));
     clock.advance(980);
-    gateway.hear(HOLDER, new TargetsChange(1, 1, 2, List.of(DRAINING), List.of()));
-    gateway.hear(HOLDER, gateway.beat(1, 0));
-    // A holder sends what the hello lacks.
+    gateway.receive(HOLDER, new TargetsChange(1, 1, 2, List.of(DRAINING), List.of()));
+    gateway.receive(HOLDER, gateway.beat(1, 0));
+    // The holder sends the targets that the hello shows to be missing.
     gateway.onSent =
         (address, message) -> {
           if (message instanceof FleetHello hello && hello.targetsVersion() < 2) {
-            gateway.arrive(HOLDER, new TargetsPush(1, 2, List.of(DRAINING)));
+            gateway.deliver(HOLDER, new TargetsPush(1, 2, List.of(DRAINING)));
           }
         };
     long last = 0;
-    for (long ms = 1; ms <= WATCHED_MS; ms++) {
+    for (long ms = 1; ms <= OBSERVED_MS; ms++) {
       clock.advance(1);
       if (ms % 300 == 0) {
-        gateway.hear(HOLDER, gateway.beat(1, 0));
+        gateway.receive(HOLDER, gateway.beat(1, 0));
       }
       last = gateway.traffic.sendsTo(A) ? ms : last;
     }
-    assertWithMessage("last request begins so many ms after the change was heard")
+    assertWithMessage("time from the receipt of the change to the last request, ms")
         .that(last)
         .isAtMost(DRAIN_MS);
   }
 
-  /** Guards against a next holder that has read nothing yet and passes for one that knows. */
+  /**
+   * Guards against a new holder that has not read the registry yet but is treated as up to date.
+   */
   @Test
-  void departuresAreHeardInTimeAcrossChangesOfTheHolder() {
+  void departuresTakeEffectInTimeAcrossChangesOfTheHolder() {
     FollowingGateway.Holder first = startHolder();
     registry.put(DRAINING);
     first.end();
     clock.advance(1);
-    VirtualRegistry.Reader nextWay = registry.new Reader();
-    nextWay.silenceNextListings(1);
+    VirtualRegistry.Reader nextReader = registry.new Reader();
+    nextReader.silenceNextListings(1);
     clock.schedule(
         900,
         () ->
-            new FollowingGateway.Holder(clock, gateway, nextWay, NEXT_HOLDER, 2)
-                .sayItHoldsTheTerm());
-    assertNothingIsSentLate("the holder ended and the next one's first listing is silent");
+            new FollowingGateway.Holder(clock, gateway, nextReader, NEXT_HOLDER, 2).announceTerm());
+    assertNothingIsSentLate(
+        "the holder ended and the first listing of the next one is not answered");
   }
 
-  /** The registry answers nobody: no departure is taken then, and what is known goes on serving. */
+  /**
+   * While the registry answers no one, it accepts no departure either, and the known targets stay
+   * in use.
+   */
   @Test
   void requestsGoOnWhileTheRegistryAnswersNobody() {
     startHolder();
-    holdersWay.setRefused(true);
-    ownWay.setRefused(true);
-    for (int ms = 0; ms < WATCHED_MS; ms++) {
+    holderReader.setRefused(true);
+    ownReader.setRefused(true);
+    for (int ms = 0; ms < OBSERVED_MS; ms++) {
       clock.advance(1);
       assertThat(gateway.traffic.sendsTo(A)).isTrue();
     }
   }
 
   /**
-   * Guards against a refusal of this gateway alone that passes for a store that answers nobody: its
-   * holder is gone, and another gateway tells that the store answers it.
+   * Guards against treating a store that refuses only this gateway as a store outage: the holder
+   * has ended, and another gateway reports that the store answers it.
    */
   @Test
-  void departuresAreHeededIfTheStoreRefusesThisGatewayAlone() {
+  void departuresTakeEffectIfTheStoreRefusesThisGatewayAlone() {
     startHolder().end();
-    ownWay.setRefused(true);
+    ownReader.setRefused(true);
     registry.put(DRAINING);
     long last = 0;
-    for (long ms = 1; ms <= WATCHED_MS; ms++) {
+    for (long ms = 1; ms <= OBSERVED_MS; ms++) {
       if (ms % 300 == 0) {
-        gateway.hear(NEXT_HOLDER, new FollowerBeat(1, HOLDER, 100, 0, 100, clock.upper().ms()));
+        gateway.receive(NEXT_HOLDER, new FollowerBeat(1, HOLDER, 100, 0, 100, clock.upper().ms()));
       }
       clock.advance(1);
       last = gateway.traffic.sendsTo(A) ? ms : last;
     }
-    assertWithMessage("last request begins so many ms after the target left")
+    assertWithMessage("time from the departure of the target to its last request, ms")
         .that(last)
         .isAtMost(DRAIN_MS);
   }
 
-  /** Guards against whatever is slow, silent or lost at random, and sums of it. */
+  /** Guards against random combinations of slow, silent and lost calls and messages. */
   @Test
-  void departuresAreHeardInTimeWhateverIsSlowBeforeThisGateway() {
+  void departuresTakeEffectInTimeWhateverIsSlowBeforeThisGateway() {
     List<Integer> late = new ArrayList<>();
     long worst = 0;
     for (int seed = 0; seed < 100; seed++) {
-      long lastMs = new DisturbedDay(seed).lastSentAfterMs();
+      long lastMs = new FaultScenario(seed).lastSentAfterMs();
       worst = Math.max(worst, lastMs);
       if (lastMs > DRAIN_MS) {
         late.add(seed);
       }
     }
-    assertWithMessage("seeds in which a request begins later than 2 s; worst is %s ms", worst)
+    assertWithMessage("seeds with a request later than 2 s; maximum is %s ms", worst)
         .that(late)
         .isEmpty();
   }
 
-  /** A gateway in order, whose holder and links are disturbed at random. */
-  private static final class DisturbedDay {
+  /**
+   * A gateway that works correctly, while faults are injected into its holder and links at random.
+   */
+  private static final class FaultScenario {
 
     private final VirtualClock time = new VirtualClock(10_000);
     private final VirtualRegistry entries = new VirtualRegistry(time);
@@ -306,26 +336,26 @@
     private final FollowingGateway.Holder holder;
     private final SplittableRandom random;
 
-    DisturbedDay(int seed) {
+    FaultScenario(int seed) {
       random = new SplittableRandom(seed);
       follower = new FollowingGateway(time, time, entries.new Reader(), true);
       entries.put(READY);
       holder = new FollowingGateway.Holder(time, follower, holdersReader, HOLDER, 1);
       follower.start();
-      follower.hear(HOLDER, follower.beat(1, 0));
+      follower.receive(HOLDER, follower.beat(1, 0));
       time.advance(5_000 + random.nextInt(1_000));
     }
 
     long lastSentAfterMs() {
       for (int i = 0; i < 4; i++) {
-        disturb();
+        injectFault();
         time.advance(random.nextInt(700));
       }
       entries.put(DRAINING);
       long last = 0;
-      for (long ms = 1; ms <= WATCHED_MS; ms++) {
+      for (long ms = 1; ms <= OBSERVED_MS; ms++) {
         if (ms % 500 == 0 && ms < 5_000) {
-          disturb();
+          injectFault();
         }
         time.advance(1);
         last = follower.traffic.sendsTo(A) ? ms : last;
@@ -333,42 +363,48 @@
       return last;
     }
 
-    private void disturb() {
+    private void injectFault() {
       switch (random.nextInt(5)) {
         case 0 -> holdersReader.setAnswerMs(random.nextInt(3_000));
         case 1 -> holdersReader.setRefused(random.nextBoolean());
         case 2 -> holder.setDelayMs(random.nextInt(1_500));
-        case 3 -> holder.loseNextChanges(random.nextInt(3));
+        case 3 -> holder.dropNextChanges(random.nextInt(3));
         default -> holdersReader.silenceNextListings(1);
       }
     }
   }
 
-  /** Guards against a next holder that knows less and turns a run that drains back into ready. */
+  /**
+   * Guards against a new holder with older state that turns a draining target back into a ready
+   * one.
+   */
   @Test
   void runsThatWereSeenToDrainStaySo() {
-    hearTargets(new TargetsPush(1, 1, List.of(READY)));
-    gateway.hear(HOLDER, new TargetsChange(1, 1, 2, List.of(DRAINING), List.of()));
+    receiveTargets(new TargetsPush(1, 1, List.of(READY)));
+    gateway.receive(HOLDER, new TargetsChange(1, 1, 2, List.of(DRAINING), List.of()));
     assertThat(gateway.traffic.sendsTo(A)).isFalse();
-    gateway.hear(NEXT_HOLDER, gateway.beat(2, 0));
-    gateway.hear(NEXT_HOLDER, new TargetsPush(2, 1, List.of(READY)));
+    gateway.receive(NEXT_HOLDER, gateway.beat(2, 0));
+    gateway.receive(NEXT_HOLDER, new TargetsPush(2, 1, List.of(READY)));
     assertThat(gateway.traffic.sendsTo(A)).isFalse();
   }
 
-  /** Guards against an earlier push of a term that undoes a later change. */
+  /** Guards against an older push of the same term that undoes a later change. */
   @Test
   void pushesOfEarlierVersionsUndoNothing() {
-    hearTargets(new TargetsPush(1, 1, List.of(READY)));
-    gateway.hear(HOLDER, new TargetsChange(1, 1, 2, List.of(), List.of(A)));
-    gateway.hear(HOLDER, new TargetsPush(1, 1, List.of(READY)));
+    receiveTargets(new TargetsPush(1, 1, List.of(READY)));
+    gateway.receive(HOLDER, new TargetsChange(1, 1, 2, List.of(), List.of(A)));
+    gateway.receive(HOLDER, new TargetsPush(1, 1, List.of(READY)));
     assertThat(gateway.traffic.sendsTo(A)).isFalse();
   }
 
-  /** Guards against a departure heard in an answer that waits for a control thread that is busy. */
+  /**
+   * Guards against a departure announced in a response of the target that takes effect only once
+   * the busy control thread has processed it.
+   */
   @Test
   void departuresHeardInAnswersCountWhileTheControlThreadIsBusy() {
     VirtualClock controlClock = new VirtualClock(10_000);
-    FollowingGateway busy = new FollowingGateway(clock, controlClock, ownWay, true);
+    FollowingGateway busy = new FollowingGateway(clock, controlClock, ownReader, true);
     busy.start();
     controlClock.advance(0);
     busy.state.update(snapshot -> snapshot.withTargets(List.of(READY)));
@@ -378,70 +414,76 @@
     busy.traffic.hearLeaving(A);
     clock.advance(DRAIN_MS + 1);
     busy.state.confirmTargets(clock.upper());
-    assertWithMessage("sent 2,001 ms after the target said here that it leaves")
+    assertWithMessage("request sent 2,001 ms after the target announced its departure here")
         .that(busy.traffic.sendsTo(A))
         .isFalse();
   }
 
-  /** Guards against a control thread that is busy for so long that all it knows is too old. */
+  /**
+   * Guards against sending on outdated state while the control thread is too busy to process newer
+   * messages.
+   */
   @Test
   void nothingIsSentOnKnowledgeThatGrewOldWhileTheControlThreadWasBusy() {
     VirtualClock controlClock = new VirtualClock(10_000);
-    FollowingGateway busy = new FollowingGateway(clock, controlClock, ownWay, true);
+    FollowingGateway busy = new FollowingGateway(clock, controlClock, ownReader, true);
     busy.start();
-    busy.arrive(HOLDER, busy.beat(1, 0));
-    busy.arrive(HOLDER, new TargetsPush(1, 1, List.of(READY)));
-    busy.arrive(HOLDER, busy.beat(1, 0));
+    busy.deliver(HOLDER, busy.beat(1, 0));
+    busy.deliver(HOLDER, new TargetsPush(1, 1, List.of(READY)));
+    busy.deliver(HOLDER, busy.beat(1, 0));
     controlClock.advance(0);
     clock.advance(0);
     controlClock.advance(0);
     assertThat(busy.traffic.sendsTo(A)).isTrue();
-    busy.arrive(HOLDER, new TargetsChange(1, 1, 2, List.of(DRAINING), List.of()));
+    busy.deliver(HOLDER, new TargetsChange(1, 1, 2, List.of(DRAINING), List.of()));
     clock.advance(DRAIN_MS + 1);
-    assertWithMessage("sent on targets that were confirmed 2,001 ms ago")
+    assertWithMessage("request sent on targets confirmed 2,001 ms ago")
         .that(busy.traffic.sendsTo(A))
         .isFalse();
   }
 
-  /** Guards against a list that may be seconds old and is used as if it were new at a start. */
+  /**
+   * Guards against a registry listing that may be seconds old but is used as current at the start
+   * of a gateway.
+   */
   @Test
   void listsOfUnknownAgeLeadNobodyToTargetsThatHaveLeft() {
     registry.put(READY);
     registry.put(DRAINING);
-    ownWay.setStale(List.of(READY));
+    ownReader.setStale(List.of(READY));
     clock.advance(DRAIN_MS);
-    FollowingGateway started = new FollowingGateway(clock, clock, ownWay, false);
+    FollowingGateway started = new FollowingGateway(clock, clock, ownReader, false);
     started.start();
     clock.advance(500);
-    assertWithMessage("sent 2,500 ms after the registry took that it drains")
+    assertWithMessage("request sent 2,500 ms after the registry accepted that the target drains")
         .that(started.traffic.sendsTo(A))
         .isFalse();
   }
 
-  /** Guards against news to a gateway that starts, from one that knows better itself. */
+  /** Guards against sending a starting gateway older targets than the sender itself uses. */
   @Test
   void gatewaysThatStartAreNotToldOlderTargetsThanTheTellerUses() {
     registry.put(READY);
-    hearTargets(new TargetsPush(1, 1, List.of(READY)));
+    receiveTargets(new TargetsPush(1, 1, List.of(READY)));
     registry.put(DRAINING);
     clock.advance(3_000);
     assertThat(gateway.traffic.sendsTo(A)).isFalse();
     List<PeerMessage> sent = new ArrayList<>();
     gateway.onSent = (address, message) -> sent.add(message);
-    gateway.hear("10.0.0.8:1", new FleetHello("new", 0, 0, 0, 0, 0, "here", 1, 0, 0, 0, 0));
-    List<FleetTarget> told =
+    gateway.receive("10.0.0.8:1", new FleetHello("new", 0, 0, 0, 0, 0, "here", 1, 0, 0, 0, 0));
+    List<FleetTarget> sentTargets =
         sent.stream()
             .filter(FleetNews.class::isInstance)
             .flatMap(news -> ((FleetNews) news).targets().targets().stream())
             .toList();
-    assertThat(told).doesNotContain(READY);
+    assertThat(sentTargets).doesNotContain(READY);
   }
 
-  private void hearTargets(TargetsPush push) {
+  private void receiveTargets(TargetsPush push) {
     startGateway();
-    gateway.hear(HOLDER, gateway.beat(1, 0));
-    gateway.hear(HOLDER, push);
-    gateway.hear(HOLDER, gateway.beat(1, 0));
+    gateway.receive(HOLDER, gateway.beat(1, 0));
+    gateway.receive(HOLDER, push);
+    gateway.receive(HOLDER, gateway.beat(1, 0));
     assertThat(gateway.traffic.sendsTo(A)).isTrue();
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetTimingsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetTimingsTest.java
@@ -6,38 +6,44 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bounds on the age of knowledge, in fleets of any width. */
+/** Checks the bounds on the age of state in fleets of various sizes. */
 class FleetTimingsTest {
 
   private static final long IN_FORCE_MS = 2_000;
   private static final long SLOW_ANSWER_MS = 240;
 
-  /** Guards against requests of wide fleets that are sent by an old configuration. */
+  /** Guards against requests in large fleets that are routed by an outdated configuration. */
   @ParameterizedTest
   @ValueSource(ints = {1, 9, 40, 45, 87, 300, 1_000})
   void nothingIsSentByConfigurationsThatMayBeOutOfForce(int processes) {
     FleetTimings timings = new FleetTimings(new RoutingState(processes));
-    assertWithMessage("the gate's bound in a fleet of %s, ms", processes)
+    assertWithMessage("maximum age of the configuration in a fleet of %s, ms", processes)
         .that(timings.configurationMaxAgeMs())
         .isLessThan(IN_FORCE_MS);
   }
 
-  /** Guards against refusals for want of an answer: a slow store is asked before that bound. */
+  /**
+   * Guards against refused requests because a store query came too late: the store, even a slow
+   * one, is queried before that bound is reached.
+   */
   @ParameterizedTest
   @ValueSource(ints = {1, 9, 40, 45, 87, 300, 1_000})
-  void oldConfigurationsAreLookedUpBeforeTheyForbidRequests(int processes) {
+  void oldConfigurationsAreQueriedBeforeTheyForbidRequests(int processes) {
     FleetTimings timings = new FleetTimings(new RoutingState(processes));
-    assertWithMessage("age at the look in a fleet of %s, and a slow answer, ms", processes)
+    assertWithMessage("age at the end of a slow store query in a fleet of %s, ms", processes)
         .that(timings.confirmedMs() + SLOW_ANSWER_MS)
         .isLessThan(timings.configurationMaxAgeMs());
   }
 
-  /** Guards against looks in the ordinary course: each gateway of a wide fleet would ask. */
+  /**
+   * Guards against store queries in normal operation, when every gateway of a large fleet would
+   * send them.
+   */
   @ParameterizedTest
   @ValueSource(ints = {1, 9, 40, 45, 87, 300, 1_000})
-  void wordsOfTheHolderThatComeInTimeAreEnough(int processes) {
+  void beatsOfTheHolderThatArriveInTimeAreEnough(int processes) {
     FleetTimings timings = new FleetTimings(new RoutingState(processes));
-    assertWithMessage("age before the next word in a fleet of %s, ms", processes)
+    assertWithMessage("age before the next beat in a fleet of %s, ms", processes)
         .that(KeyFollower.SHORT_WAIT_MS + timings.helloIntervalMs())
         .isLessThan(timings.confirmedMs());
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetViewTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetViewTest.java
@@ -27,16 +27,16 @@
   private static final RangeRoute HIGH = new RangeRoute(10, 19, B, true);
 
   private final FleetView holder = new FleetView();
-  private final FleetView other = new FleetView();
+  private final FleetView follower = new FleetView();
 
   @Test
-  void theFirstNewsOfTheTermIsWhole() {
+  void theFirstMessagesOfATermAreComplete() {
     assertThat(holder.publishRoutes(5, 1, routes(LOW, HIGH))).isInstanceOf(RoutesPush.class);
     assertThat(holder.publishTargets(5, 1, List.of(target(A)))).isInstanceOf(TargetsPush.class);
   }
 
   @Test
-  void laterNewsAreOnlyWhatDiffers() {
+  void laterMessagesHoldOnlyDifferences() {
     holder.publishRoutes(5, 1, routes(LOW, HIGH));
     RangeRoute closed = new RangeRoute(10, 19, B, false);
     RoutesChange change = (RoutesChange) holder.publishRoutes(5, 2, routes(LOW, closed));
@@ -49,62 +49,63 @@
   }
 
   @Test
-  void changesPatchWhatIsKnown() {
-    hear(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
-    hear(holder.publishRoutes(5, 2, routes(LOW, new RangeRoute(10, 19, A, true))));
-    hear(holder.publishTargets(5, 1, List.of(target(A))));
-    hear(holder.publishTargets(5, 2, List.of(target(A), target(B))));
-    assertThat(other.routes().services()).isEqualTo(holder.routes().services());
-    assertThat(other.targets().targets()).containsExactly(target(A), target(B));
-    assertThat(other.hello("x", "dc", 1, 0, 0, 0, UpperTime.NEVER, 0))
+  void changesAreAppliedToKnownState() {
+    receive(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
+    receive(holder.publishRoutes(5, 2, routes(LOW, new RangeRoute(10, 19, A, true))));
+    receive(holder.publishTargets(5, 1, List.of(target(A))));
+    receive(holder.publishTargets(5, 2, List.of(target(A), target(B))));
+    assertThat(follower.routes().services()).isEqualTo(holder.routes().services());
+    assertThat(follower.targets().targets()).containsExactly(target(A), target(B));
+    assertThat(follower.hello("x", "dc", 1, 0, 0, 0, UpperTime.NEVER, 0))
         .isEqualTo(holder.hello("x", "dc", 1, 0, 0, 0, UpperTime.NEVER, 0));
   }
 
   @Test
-  void changesAfterGapsAreNotTaken() {
-    hear(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
+  void changesAfterGapsAreRejected() {
+    receive(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
     holder.publishRoutes(5, 2, routes(LOW, new RangeRoute(10, 19, A, false)));
     FleetMessage third = holder.publishRoutes(5, 3, routes(LOW, new RangeRoute(10, 19, A, true)));
-    assertThat(other.apply((RoutesChange) third)).isFalse();
-    assertThat(other.routes().version()).isEqualTo(1);
+    assertThat(follower.apply((RoutesChange) third)).isFalse();
+    assertThat(follower.routes().version()).isEqualTo(1);
   }
 
   @Test
-  void newsOfAnEarlierTermAreNone() {
-    hear(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
-    assertThat(other.apply(new RoutesPush(4, 9, routes(HIGH)))).isFalse();
-    assertThat(other.apply(new TargetsPush(4, 9, List.of(target(B))))).isFalse();
+  void messagesOfAnEarlierTermAreRejected() {
+    receive(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
+    assertThat(follower.apply(new RoutesPush(4, 9, routes(HIGH)))).isFalse();
+    assertThat(follower.apply(new TargetsPush(4, 9, List.of(target(B))))).isFalse();
   }
 
   @Test
-  void distrustedTargetsAreAskedForAgainAndStayInUse() {
-    hear(holder.publishTargets(5, 1, List.of(target(A))));
-    other.invalidateTargets();
-    assertThat(other.hello("x", "dc", 1, 0, 0, 0, UpperTime.NEVER, 0).targetsTerm()).isEqualTo(0);
-    assertThat(other.targets().targets()).containsExactly(target(A));
+  void invalidatedTargetsAreRequestedAgainAndStayInUse() {
+    receive(holder.publishTargets(5, 1, List.of(target(A))));
+    follower.invalidateTargets();
+    assertThat(follower.hello("x", "dc", 1, 0, 0, 0, UpperTime.NEVER, 0).targetsTerm())
+        .isEqualTo(0);
+    assertThat(follower.targets().targets()).containsExactly(target(A));
   }
 
   @Test
-  void whatTheStoreSaysCountsUntilTheHolderSpeaks() {
-    assertThat(other.applyStored(routes(LOW))).isTrue();
-    assertThat(other.applyStored(routes(HIGH))).isFalse();
-    hear(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
-    assertThat(other.applyStored(routes(LOW))).isFalse();
-    assertThat(other.routes().services()).isEqualTo(routes(LOW, HIGH));
+  void storedOwnersAreUsedUntilTheHolderSendsOthers() {
+    assertThat(follower.applyStored(routes(LOW))).isTrue();
+    assertThat(follower.applyStored(routes(HIGH))).isFalse();
+    receive(holder.publishRoutes(5, 1, routes(LOW, HIGH)));
+    assertThat(follower.applyStored(routes(LOW))).isFalse();
+    assertThat(follower.routes().services()).isEqualTo(routes(LOW, HIGH));
   }
 
-  private void hear(FleetMessage message) {
-    boolean taken;
+  private void receive(FleetMessage message) {
+    boolean applied;
     if (message instanceof RoutesPush push) {
-      taken = other.apply(push);
+      applied = follower.apply(push);
     } else if (message instanceof RoutesChange change) {
-      taken = other.apply(change);
+      applied = follower.apply(change);
     } else if (message instanceof TargetsPush push) {
-      taken = other.apply(push);
+      applied = follower.apply(push);
     } else {
-      taken = other.apply((TargetsChange) message);
+      applied = follower.apply((TargetsChange) message);
     }
-    assertThat(taken).isTrue();
+    assertThat(applied).isTrue();
   }
 
   private static List<ServiceRanges> routes(RangeRoute... ranges) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
@@ -35,8 +35,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * A gateway that follows a holder, on virtual time and without sockets: its link to the fleet and
- * its traffic up to the first byte. The test plays the other gateways.
+ * A gateway that follows a holder, on virtual time and without sockets: its fleet link and its
+ * request traffic up to the first byte. The test simulates the other gateways.
  */
 final class FollowingGateway {
 
@@ -53,13 +53,13 @@
   private final ControlThread control;
   private final ConfigurationWatch configuration;
 
-  /** Takes what this gateway sends. */
+  /** Receives every message that this gateway sends, with the address of its receiver. */
   BiConsumer<String, PeerMessage> onSent = (address, message) -> {};
 
-  /** What it logged, with the time. */
+  /** Log lines of this gateway, each with its time. */
   final List<String> lines = new ArrayList<>();
 
-  /** How many gateways the holder names. */
+  /** Number of gateways that the holder reports in its beats. */
   int processes = 2;
 
   private long newestTerm;
@@ -68,9 +68,11 @@
    * Creates a gateway.
    *
    * @param clock the time
-   * @param controlClock runs the control thread; another one than the time for a busy thread
-   * @param registry its own way to the registry
-   * @param firstStart whether it starts with the whole fleet, and so reads nothing first
+   * @param controlClock clock that runs the control thread; differs from {@code clock} to simulate
+   *     a busy thread
+   * @param registry connection of this gateway to the registry
+   * @param firstStart whether the whole fleet starts for the first time, so that the gateway reads
+   *     nothing from the store first
    */
   FollowingGateway(
       VirtualClock clock, VirtualClock controlClock, TargetRegistry registry, boolean firstStart) {
@@ -118,18 +120,18 @@
     clock.advance(0);
   }
 
-  /** Another gateway's message arrives; the control thread gets to it when it can. */
-  void arrive(String sender, FleetMessage message) {
+  /** Delivers a message of another gateway; the control thread processes it once it is free. */
+  void deliver(String sender, FleetMessage message) {
     control.execute(() -> link.onMessage(new Channel(sender), message));
   }
 
-  /** Another gateway's message arrives, and the control thread gets to it at once. */
-  void hear(String sender, FleetMessage message) {
-    arrive(sender, message);
+  /** Delivers a message of another gateway and processes it at once. */
+  void receive(String sender, FleetMessage message) {
+    deliver(sender, message);
     clock.advance(0);
   }
 
-  /** A beat that vouches for whatever its sender has told. */
+  /** Returns a beat that confirms whatever targets its sender has sent. */
   FleetBeat beat(long term, long registryAgeMs) {
     return beat(term, registryAgeMs, 0, clock.upper().ms());
   }
@@ -168,7 +170,7 @@
         List.of());
   }
 
-  /** As the lease of the term does it, without the store. */
+  /** Tracks the newest term as the term lease does, without the store. */
   private final class Terms implements TermKnowledge {
 
     @Override
@@ -251,7 +253,7 @@
     public void close() {}
   }
 
-  /** Follows the registry as a holder does, and answers hellos as it does. */
+  /** Simulates a holder: follows the registry and answers hellos as a holder does. */
   static final class Holder {
 
     private final VirtualClock clock;
@@ -263,11 +265,11 @@
     private final Subscribers subscribers = new Subscribers();
     private final PeerChannel channel;
 
-    /** How long a message to the follower takes on its way. */
+    /** Transit time of a message to the follower. */
     private long delayMs = 1;
 
-    /** The next changes of targets are lost on their way. */
-    private int lostChanges;
+    /** Number of target changes still to be lost in transit. */
+    private int changesToDrop;
 
     private boolean ended;
 
@@ -290,7 +292,7 @@
 
             @Override
             public boolean send(PeerMessage message) {
-              tell((FleetMessage) message);
+              sendToFollower((FleetMessage) message);
               return true;
             }
           };
@@ -305,7 +307,7 @@
               log,
               List.copyOf(follower.state.current().targets()),
               follower.state.targetsConfirmed(),
-              this::onTargets);
+              this::publishTargetsToFollowers);
       BiConsumer<String, PeerMessage> others = follower.onSent;
       follower.onSent =
           (to, message) -> {
@@ -315,7 +317,7 @@
       control.execute(registry::start);
     }
 
-    /** It says nothing more. */
+    /** Stops sending messages. */
     void end() {
       ended = true;
     }
@@ -324,26 +326,26 @@
       delayMs = ms;
     }
 
-    void loseNextChanges(int count) {
-      lostChanges = count;
+    void dropNextChanges(int count) {
+      changesToDrop = count;
     }
 
-    /** Says at once that it holds the term, as it does when it has taken it. */
-    void sayItHoldsTheTerm() {
-      tell(beat(clock.upper().ms()));
+    /** Sends a beat at once, as a gateway does that has just taken the term. */
+    void announceTerm() {
+      sendToFollower(beat(clock.upper().ms()));
     }
 
     private FleetBeat beat(long helloSentMs) {
-      boolean hasTold = view.targets().term() == term;
-      long version = hasTold ? view.targets().version() : Long.MAX_VALUE;
+      boolean hasPublished = view.targets().term() == term;
+      long version = hasPublished ? view.targets().version() : Long.MAX_VALUE;
       return follower.beat(term, registry.ageMs(), version, helloSentMs);
     }
 
-    private void onTargets() {
+    private void publishTargetsToFollowers() {
       FleetMessage change =
           view.publishTargets(term, registry.register().version(), registry.register().all());
-      if (lostChanges > 0) {
-        lostChanges--;
+      if (changesToDrop > 0) {
+        changesToDrop--;
       } else {
         subscribers.sendToAll(change);
       }
@@ -355,14 +357,14 @@
             1,
             () -> {
               subscribers.onHello(channel, hello, term, view, clock.nowMs());
-              tell(beat(hello.sentMs()));
+              sendToFollower(beat(hello.sentMs()));
             });
       }
     }
 
-    private void tell(FleetMessage message) {
+    private void sendToFollower(FleetMessage message) {
       if (!ended) {
-        clock.schedule(delayMs, () -> follower.arrive(address, message));
+        clock.schedule(delayMs, () -> follower.deliver(address, message));
       }
     }
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OrderFactsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OrderFactsTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Orders that are decided on in time and begin late. */
+/** Checks lease orders that are decided in time but sent late. */
 class OrderFactsTest {
 
   private static final TargetId TARGET = new TargetId("a");
@@ -40,7 +40,7 @@
     assertThat(check()).isEmpty();
   }
 
-  /** The connection takes 2 s: what was decided then may have been decided otherwise since. */
+  /** Connecting takes 2 s, after which the decision may no longer be valid. */
   @Test
   void ordersThatBeginLateAreNotSent() {
     nowMs += STEP_MS;
@@ -68,7 +68,10 @@
     assertThat(check()).hasValue(new SendObstacle(SendCondition.TARGET_RUNS, false));
   }
 
-  /** Guards against keys that stay closed: only an answer proves that the run holds none. */
+  /**
+   * Guards against keys that stay closed: only the answer to a release proves that the target
+   * instance holds none.
+   */
   @Test
   void releasesAreSentToRunsThatAreSaidToHaveEnded() {
     ended.add(TARGET);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OwnershipStoreTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OwnershipStoreTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void theWriteWithoutAnAnswerIsLookedUp() {
+  void theWriteWithoutAnAnswerIsReadBack() {
     read(earlier);
     memory.loseNextAnswer();
     write(earlier);
@@ -65,7 +65,7 @@
 
   private void read(OwnershipStore store) {
     control.execute(() -> store.read(found -> {}));
-    settle();
+    runPendingTasks();
   }
 
   private void write(OwnershipStore store) {
@@ -79,7 +79,7 @@
                 found -> conflictingTerms.add(found.map(OwnershipRecord::term).orElse(0L)));
           }
         });
-    settle();
+    runPendingTasks();
   }
 
   private long termInStore() {
@@ -89,8 +89,11 @@
     return read.join().orElseThrow().term();
   }
 
-  /** Every call is answered at once, so a few turns of the control thread end whatever began. */
-  private void settle() {
+  /**
+   * Waits until pending work is done. Every store call is answered at once, so a few turns of the
+   * control thread are enough.
+   */
+  private void runPendingTasks() {
     for (int i = 0; i < 5; i++) {
       CompletableFuture<Void> turn = new CompletableFuture<>();
       control.execute(() -> turn.complete(null));
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A gateway tells the holder that another target answers at the address of an owner of keys. */
+/** Checks the report of a gateway that another target answers at the address of a key owner. */
 class ReplacedTargetTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
@@ -50,7 +50,7 @@
   private static final String ADDRESS_OF_B = "127.0.0.1:10";
   private static final long GRACE_MS = 9_500;
 
-  /** The first assignment waits for targets that register late. */
+  /** Time until the first assignment is done; it waits for targets that register late. */
   private static final long SETTLE_MS = 8_000;
 
   private final VirtualClock clock = new VirtualClock(10_000);
@@ -73,7 +73,7 @@
           1,
           GRACE_MS,
           PeerReliance.partial(() -> 1_000),
-          new IgnoredEvents());
+          new NoOpTermListener());
   private TermCoordinator coordinator;
 
   @BeforeEach
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Guards against two owners of a key after news that was late: the next run under the owner's
-   * name has its leases by then, and cannot be reached when it is to give them back.
+   * Guards against two owners of a key after a late report: by then the next target instance under
+   * the same name holds leases, and it cannot be reached to release them.
    */
   @Test
   void keysOfTheReplacedTargetStayClosedUntilItIsProvedThatNobodyHasThem() {
@@ -108,12 +108,15 @@
     final int grants = targets.grantsTo(B).size();
     report(A);
     clock.advance(1_000);
-    assertThat(targets.newKeysOf(B, keys, grants)).isEmpty();
+    assertThat(targets.newGrantsOf(B, keys, grants)).isEmpty();
     clock.advance(TIMINGS.boundMs(TIMINGS.leaseMs()));
-    assertThat(targets.newKeysOf(B, keys, grants)).isNotEmpty();
+    assertThat(targets.newGrantsOf(B, keys, grants)).isNotEmpty();
   }
 
-  /** Guards against keys that stay closed for a lease although an answer proves them free. */
+  /**
+   * Guards against keys that stay closed for a full lease although an answer proves that they are
+   * free.
+   */
   @Test
   void keysOfTheReplacedTargetMoveOnceAnotherOneAnswersInItsPlace() {
     targets.answers.put(ADDRESS_OF_A, OrderOutcome.OTHER_TARGET);
@@ -121,7 +124,7 @@
     final int grants = targets.grantsTo(B).size();
     report(A);
     clock.advance(200);
-    assertThat(targets.newKeysOf(B, keys, grants)).isNotEmpty();
+    assertThat(targets.newGrantsOf(B, keys, grants)).isNotEmpty();
   }
 
   private void report(TargetId replaced) {
@@ -145,7 +148,7 @@
         TIMINGS,
         2,
         lease,
-        new NoListener(),
+        new NoOpListener(),
         false,
         target -> OptionalDouble.empty(),
         target -> {});
@@ -155,7 +158,7 @@
     return new FleetTarget(id, SERVICE, address, new DataCentreId("here"), 4, TargetPhase.READY, 0);
   }
 
-  /** Targets that answer orders as they are told to, at once. */
+  /** Simulated targets that answer lease orders at once with the configured outcome. */
   private static final class Targets implements LeaseControl {
 
     private final Map<String, OrderOutcome> answers = new HashMap<>();
@@ -170,8 +173,8 @@
       return all.get(all.size() - 1).range();
     }
 
-    /** Returns the grants of these keys to a target since it had got so many. */
-    List<LeaseOrder.Grant> newKeysOf(TargetId target, KeyRange keys, int since) {
+    /** Returns the grants of these keys to a target after its first {@code since} grants. */
+    List<LeaseOrder.Grant> newGrantsOf(TargetId target, KeyRange keys, int since) {
       List<LeaseOrder.Grant> all = grantsTo(target);
       return all.subList(since, all.size()).stream()
           .filter(grant -> grant.range().first() <= keys.last())
@@ -204,7 +207,7 @@
     }
   }
 
-  private static final class NoListener implements TermCoordinator.Listener {
+  private static final class NoOpListener implements TermCoordinator.Listener {
 
     @Override
     public void onTargets(long term, long version, List<FleetTarget> targets) {}
@@ -213,7 +216,7 @@
     public void onRoutes(long term, long version, List<ServiceRanges> services) {}
   }
 
-  private static final class IgnoredEvents implements TermLease.Listener {
+  private static final class NoOpTermListener implements TermLease.Listener {
 
     @Override
     public void onGained(long term) {}
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingTargetsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingTargetsTest.java
@@ -32,9 +32,12 @@
     assertThat(resting.isResting(TARGET)).isFalse();
   }
 
-  /** Many gateways send a target few requests each: half of them would hear of it too late. */
+  /**
+   * In a large fleet each gateway sends a target few requests, so waiting for half of the gateways
+   * would take too long.
+   */
   @Test
-  void inWideFleetsSomeGatewaysAreEnough() {
+  void inLargeFleetsThreeGatewaysAreEnough() {
     gateways = 95;
     report(1, TARGET, 3_000);
     report(2, TARGET, 3_000);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServicePlannerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServicePlannerTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Load that is uneven, and targets that leave, while the store answers and while it does not. */
+/** Checks uneven load and leaving targets, with and without answers of the store. */
 class ServicePlannerTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
@@ -61,7 +61,7 @@
     planner.plan(register, 3, true, SETTLED_MS);
   }
 
-  /** The first keys, all of one owner, cause work. */
+  /** Reports load on the first keys, all of which have one owner. */
   private void onWork(int workMs) {
     int[] keys = IntStream.range(0, BUSY_KEYS).toArray();
     int[] work = IntStream.range(0, BUSY_KEYS).map(key -> workMs).toArray();
@@ -75,7 +75,7 @@
     assertThat(desk.needsWrite()).isTrue();
   }
 
-  /** A move closes its keys until it is written, which may take as long as the outage. */
+  /** A move closes its keys until it is written, which may last as long as the store outage. */
   @Test
   void unevenLoadIsLeftAloneWhileTheStoreDoesNotAnswer() {
     onWork(WORK_MS);
@@ -84,7 +84,7 @@
     assertThat(desk.routes().stream().allMatch(route -> route.open())).isTrue();
   }
 
-  /** Its slots are nearly idle, but it takes 2 requests a second and gets 20. */
+  /** The slots of the owner are nearly idle, but it accepts 2 requests a second and is sent 20. */
   @Test
   void ownersWithLimitsAreRelieved() {
     onWork(LITTLE_WORK_MS);
@@ -96,7 +96,7 @@
     assertThat(ownersOfBusyKeys()).hasSize(2);
   }
 
-  /** Its slots are nearly idle, since no gateway sends it anything. */
+  /** The slots of the owner are nearly idle, since no gateway sends it anything. */
   @Test
   void ownersThatHaveAskedAllGatewaysForRestAreRelieved() {
     onWork(LITTLE_WORK_MS);
@@ -115,7 +115,7 @@
     assertThat(desk.needsWrite()).isFalse();
   }
 
-  /** That is overload: keys would only move to and fro. */
+  /** The service is overloaded then: moves would only shift keys back and forth. */
   @Test
   void ownersKeepTheirKeysIfMostOfThemRest() {
     onWork(LITTLE_WORK_MS);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/SubscribersTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/SubscribersTest.java
@@ -27,13 +27,13 @@
   }
 
   @Test
-  void newSubscribersGetEverything() {
+  void newSubscribersReceiveTheFullState() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
     assertThat(channel.sent).containsExactly(view.targets(), view.routes());
   }
 
   @Test
-  void whatIsStillUnderWayIsNotSentAgain() {
+  void messagesInTransitAreNotSentAgain() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
     channel.sent.clear();
     subscribers.sendToAll(view.publishRoutes(TERM, 2, List.of()));
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void whatWasLostIsSentAgainWhole() {
+  void lostStateIsSentAgainInFull() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
     subscribers.sendToAll(view.publishRoutes(TERM, 2, List.of()));
     subscribers.onHello(channel, hello(TERM, 1), TERM, view, 300);
@@ -63,13 +63,13 @@
   }
 
   @Test
-  void whatAnEarlierHolderDecidedIsNotPassedOn() {
+  void stateOfAnEarlierTermIsNotSent() {
     subscribers.onHello(channel, hello(0, 0), TERM + 1, view, 0);
     assertThat(channel.sent).isEmpty();
   }
 
   @Test
-  void silentGatewaysCountNoMore() {
+  void silentGatewaysAreNoLongerCounted() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
     subscribers.removeSilent(2_000, 300);
     assertThat(subscribers.count()).isEqualTo(1);
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void mostAreThoseThatFollowedBeforeTheyFellSilent() {
+  void majorityIncludesFollowersThatFellSilent() {
     assertThat(subscribers.majorityHeardSince(0)).isTrue();
     subscribers.onHello(channel, hello(0, 0), TERM, view, 1_000);
     assertThat(subscribers.majorityHeardSince(700)).isTrue();
@@ -92,7 +92,7 @@
         "gateway-1", term, term == 0 ? 0 : 1, term, routesVersion, 0, "dc", 1, 0, 0, 0, 0);
   }
 
-  /** Keeps what is sent. */
+  /** Records the sent messages and checks that their term is the current one. */
   private static final class Channel implements PeerChannel {
 
     private final List<PeerMessage> sent = new ArrayList<>();
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermCoordinatorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermCoordinatorTest.java
@@ -25,7 +25,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a gateway tells the others once it holds the term. */
+/** Checks what a gateway publishes to the others while it holds the term. */
 class TermCoordinatorTest {
 
   private static final LeaseTimings TIMINGS =
@@ -84,11 +84,11 @@
   }
 
   /**
-   * Guards against a holder that tells as the newest targets those that it knew before its term:
-   * another target's departure comes before the registry has answered it.
+   * Guards against a holder that publishes the targets known before its term as current: a
+   * departure of another target triggers a publication before the registry has answered.
    */
   @Test
-  void targetsAreToldOnlyOnceTheRegistryHasAnswered() {
+  void targetsArePublishedOnlyOnceTheRegistryHasAnswered() {
     state.update(s -> s.withTargets(List.of(READY, target(B, TargetPhase.READY))));
     registry.put(target(A, TargetPhase.DRAINING));
     reader.silenceNextListings(1);
@@ -97,13 +97,16 @@
     clock.advance(100);
     state.update(s -> s.withLeaving(Set.of(B)));
     coordinator.onDepartures();
-    boolean toldOld = published.stream().anyMatch(targets -> targets.contains(READY));
-    assertWithMessage("tells that the target is ready, before it has read anything")
-        .that(toldOld)
+    boolean publishedOutdated = published.stream().anyMatch(targets -> targets.contains(READY));
+    assertWithMessage("published the target as ready before any registry answer")
+        .that(publishedOutdated)
         .isFalse();
   }
 
-  /** Guards against a holder that passes for one that knows, before the registry has answered. */
+  /**
+   * Guards against a holder that reports its targets as up to date before the registry has
+   * answered.
+   */
   @Test
   void theAgeOfTheRegistryBeginsWithItsFirstAnswer() {
     reader.silenceNextListings(5);
