--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
@@ -37,8 +37,8 @@
   void onGained(TermCoordinator gained, Optional<String> holderBefore) {
     coordinator = Optional.of(gained);
     formerHolder = holderBefore;
-    EarlierLeases.Snapshot heard = earlierLeases.heard();
-    complete = gained.onLeasesLeft(heard.left(), heard.takenMs());
+    EarlierLeases.Snapshot received = earlierLeases.received();
+    complete = gained.onLeasesLeft(received.left(), received.takenMs());
     requestLeases();
   }
 
@@ -66,13 +66,13 @@
   /** Handles the remaining leases of an ended holder, received from another gateway. */
   void onLeasesLeft(LeasesLeft left) {
     long nowMs = clock.nowMs();
-    earlierLeases.onHeard(left, nowMs);
+    earlierLeases.onReceived(left, nowMs);
     coordinator.ifPresent(holder -> complete |= holder.onLeasesLeft(left, nowMs));
   }
 
   /**
-   * Handles the end of an earlier term. If it is the term of this process, this process stops at
-   * once.
+   * Handles the request of the holder of a later term. If this process still holds an earlier term,
+   * it stops at once.
    */
   void onHolderEnded(PeerChannel sender, HolderEnded ended) {
     if (coordinator.isPresent() && coordinator.get().term() < ended.term()) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
@@ -16,7 +16,7 @@
 final class EarlierLeases {
 
   private Snapshot own = new Snapshot(new LeasesLeft(0, List.of()), 0);
-  private Snapshot heard = own;
+  private Snapshot received = own;
 
   /** Records the remaining leases at the end of a term of this process. */
   void onOwnTermEnded(LeasesLeft left, long nowMs) {
@@ -26,15 +26,15 @@
   /**
    * Records remaining leases received from another process, its own or those of an earlier holder.
    */
-  void onHeard(LeasesLeft left, long nowMs) {
-    if (left.term() > heard.left().term()) {
-      heard = new Snapshot(left, nowMs);
+  void onReceived(LeasesLeft left, long nowMs) {
+    if (left.term() > received.left().term()) {
+      received = new Snapshot(left, nowMs);
     }
   }
 
   /** Returns the newest leases received from other processes; with term 0 if there are none. */
-  Snapshot heard() {
-    return heard;
+  Snapshot received() {
+    return received;
   }
 
   /**
@@ -42,7 +42,7 @@
    * that each has left.
    */
   Optional<LeasesLeft> leasesBefore(long term, long nowMs) {
-    Snapshot newest = own.left().term() > heard.left().term() ? own : heard;
+    Snapshot newest = own.left().term() > received.left().term() ? own : received;
     if (newest.left().term() == 0 || newest.left().term() >= term) {
       return Optional.empty();
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
@@ -115,7 +115,8 @@
   }
 
   /**
-   * Checks right before the first byte, on a client thread, whether the order may still be sent.
+   * Checks, on a thread of the lease client right before the first byte, whether the order may be
+   * sent.
    */
   private boolean maySend(LeaseOrder order, UpperTime decided) {
     SendFacts facts = new OrderFacts(state, () -> !closed, order.target(), decided);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
@@ -16,29 +16,29 @@
 
   @Test
   void nothingIsKnownAtFirst() {
-    assertThat(leases.heard().left().term()).isEqualTo(0);
+    assertThat(leases.received().left().term()).isEqualTo(0);
     assertThat(leases.leasesBefore(9, 0)).isEmpty();
   }
 
   @Test
   void remainingTimesShrinkWhileLeasesAreStored() {
-    leases.onHeard(left(3, 1_000, 5_000), 100);
+    leases.onReceived(left(3, 1_000, 5_000), 100);
     assertThat(leases.leasesBefore(4, 2_100)).hasValue(left(3, 3_000));
   }
 
   @Test
   void theNewestTermIsReturned() {
     leases.onOwnTermEnded(left(5, 500), 0);
-    leases.onHeard(left(3, 1_000), 0);
+    leases.onReceived(left(3, 1_000), 0);
     assertThat(leases.leasesBefore(6, 0)).hasValue(left(5, 500));
-    leases.onHeard(left(7, 700), 0);
-    leases.onHeard(left(6, 600), 0);
+    leases.onReceived(left(7, 700), 0);
+    leases.onReceived(left(6, 600), 0);
     assertThat(leases.leasesBefore(8, 0)).hasValue(left(7, 700));
   }
 
   @Test
   void onlyEarlierTermsAreReturned() {
-    leases.onHeard(left(3, 1_000), 0);
+    leases.onReceived(left(3, 1_000), 0);
     assertThat(leases.leasesBefore(3, 0)).isEmpty();
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
@@ -110,7 +110,7 @@
    * no longer carries data.
    */
   @Test
-  void departuresTakeEffectInTimeIfTheFirstLookIsSilent() {
+  void departuresTakeEffectInTimeIfTheFirstListingIsNotAnswered() {
     startHolder();
     holderReader.setRefused(true);
     ownReader.silenceNextListings(1);
@@ -131,7 +131,7 @@
    * intervals between beats do.
    */
   @Test
-  void departuresTakeEffectInTimeInWideFleetsIfTheHolderEnds() {
+  void departuresTakeEffectInTimeInLargeFleetsIfTheHolderEnds() {
     gateway.processes = 87;
     startHolder().end();
     registry.put(DRAINING);
@@ -140,7 +140,7 @@
 
   /** Guards against timeouts that add up in large fleets. */
   @Test
-  void departuresTakeEffectInTimeInWideFleetsWhileTheRegistryRefusesTheHolder() {
+  void departuresTakeEffectInTimeInLargeFleetsWhileTheRegistryRefusesTheHolder() {
     gateway.processes = 87;
     startHolder();
     holderReader.setRefused(true);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetViewTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetViewTest.java
@@ -30,7 +30,7 @@
   private final FleetView follower = new FleetView();
 
   @Test
-  void theFirstMessagesOfATermAreComplete() {
+  void theFirstMessagesOfTheTermAreComplete() {
     assertThat(holder.publishRoutes(5, 1, routes(LOW, HIGH))).isInstanceOf(RoutesPush.class);
     assertThat(holder.publishTargets(5, 1, List.of(target(A)))).isInstanceOf(TargetsPush.class);
   }
