--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
@@ -38,7 +38,7 @@
     coordinator = Optional.of(gained);
     formerHolder = holderBefore;
     EarlierLeases.Snapshot received = earlierLeases.received();
-    complete = gained.onLeasesLeft(received.left(), received.takenMs());
+    complete = gained.onLeasesLeft(received.remaining(), received.takenMs());
     requestLeases();
   }
 
@@ -48,9 +48,9 @@
    */
   void onLost(TermCoordinator ended) {
     coordinator = Optional.empty();
-    LeasesLeft left = new LeasesLeft(ended.term(), ended.leasesLeft());
-    earlierLeases.onOwnTermEnded(left, clock.nowMs());
-    subscribers.sendToAll(left);
+    LeasesLeft remaining = new LeasesLeft(ended.term(), ended.leasesLeft());
+    earlierLeases.onOwnTermEnded(remaining, clock.nowMs());
+    subscribers.sendToAll(remaining);
   }
 
   /** Requests the remaining leases again, as the holder, unless the list is complete. */
@@ -64,10 +64,10 @@
   }
 
   /** Handles the remaining leases of an ended holder, received from another gateway. */
-  void onLeasesLeft(LeasesLeft left) {
+  void onLeasesLeft(LeasesLeft remaining) {
     long nowMs = clock.nowMs();
-    earlierLeases.onReceived(left, nowMs);
-    coordinator.ifPresent(holder -> complete |= holder.onLeasesLeft(left, nowMs));
+    earlierLeases.onReceived(remaining, nowMs);
+    coordinator.ifPresent(holder -> complete |= holder.onLeasesLeft(remaining, nowMs));
   }
 
   /**
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
@@ -19,16 +19,16 @@
   private Snapshot received = own;
 
   /** Records the remaining leases at the end of a term of this process. */
-  void onOwnTermEnded(LeasesLeft left, long nowMs) {
-    own = new Snapshot(left, nowMs);
+  void onOwnTermEnded(LeasesLeft remaining, long nowMs) {
+    own = new Snapshot(remaining, nowMs);
   }
 
   /**
    * Records remaining leases received from another process, its own or those of an earlier holder.
    */
-  void onReceived(LeasesLeft left, long nowMs) {
-    if (left.term() > received.left().term()) {
-      received = new Snapshot(left, nowMs);
+  void onReceived(LeasesLeft remaining, long nowMs) {
+    if (remaining.term() > received.remaining().term()) {
+      received = new Snapshot(remaining, nowMs);
     }
   }
 
@@ -42,8 +42,8 @@
    * that each has left.
    */
   Optional<LeasesLeft> leasesBefore(long term, long nowMs) {
-    Snapshot newest = own.left().term() > received.left().term() ? own : received;
-    if (newest.left().term() == 0 || newest.left().term() >= term) {
+    Snapshot newest = own.remaining().term() > received.remaining().term() ? own : received;
+    if (newest.remaining().term() == 0 || newest.remaining().term() >= term) {
       return Optional.empty();
     }
     return Optional.of(newest.at(nowMs));
@@ -52,15 +52,15 @@
   /**
    * The remaining leases at one point in time.
    *
-   * @param left the leases; not null
+   * @param remaining the leases; not null
    * @param takenMs the point in time; milliseconds
    */
-  record Snapshot(LeasesLeft left, long takenMs) {
+  record Snapshot(LeasesLeft remaining, long takenMs) {
 
     private LeasesLeft at(long nowMs) {
       long elapsedMs = nowMs - takenMs;
       List<LeaseLeft> running = new ArrayList<>();
-      for (LeaseLeft lease : left.leases()) {
+      for (LeaseLeft lease : remaining.leases()) {
         if (lease.leftMs() > elapsedMs) {
           running.add(
               new LeaseLeft(
@@ -71,7 +71,7 @@
                   lease.leftMs() - elapsedMs));
         }
       }
-      return new LeasesLeft(left.term(), running);
+      return new LeasesLeft(remaining.term(), running);
     }
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -266,8 +266,8 @@
       onNews(news);
     } else if (message instanceof HolderEnded ended) {
       earlierLeases.onHolderEnded(sender, ended);
-    } else if (message instanceof LeasesLeft left) {
-      earlierLeases.onLeasesLeft(left);
+    } else if (message instanceof LeasesLeft remaining) {
+      earlierLeases.onLeasesLeft(remaining);
     } else if (message instanceof KeyLoadReport
         || message instanceof TargetTimesReport
         || message instanceof TargetReplaced
@@ -413,11 +413,11 @@
     }
   }
 
-  private void report(FleetMessage measured) {
+  private void report(FleetMessage message) {
     if (coordinator.isPresent()) {
-      coordinator.get().onReport(measured);
+      coordinator.get().onReport(message);
     } else {
-      holderAddress.ifPresent(address -> network.send(address, measured));
+      holderAddress.ifPresent(address -> network.send(address, message));
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
@@ -37,23 +37,23 @@
    */
   void onHello(PeerChannel sender, FleetHello hello, long term, FleetView view, long nowMs) {
     Subscriber known = byProcess.get(hello.process());
-    boolean fresh = known == null || !known.channel.equals(sender);
-    Subscriber subscriber = fresh ? new Subscriber(sender, hello) : known;
+    boolean isNew = known == null || !known.channel.equals(sender);
+    Subscriber subscriber = isNew ? new Subscriber(sender, hello) : known;
     byProcess.put(hello.process(), subscriber);
-    if (fresh) {
+    if (isNew) {
       chooseDeputies();
     }
-    subscriber.heardMs = nowMs;
+    subscriber.lastHelloMs = nowMs;
     peakCount = Math.max(peakCount, byProcess.size());
     boolean lacksTargets =
-        fresh
+        isNew
             || hello.targetsTerm() != term
             || hello.targetsVersion() < subscriber.expectedTargetsVersion;
     if (lacksTargets && view.targets().term() == term) {
       sender.send(view.targets());
     }
     boolean lacksRoutes =
-        fresh
+        isNew
             || hello.routesTerm() != term
             || hello.routesVersion() < subscriber.expectedRoutesVersion;
     if (lacksRoutes && view.routes().term() == term) {
@@ -69,7 +69,7 @@
 
   void removeSilent(long nowMs, long helloIntervalMs) {
     long timeoutMs = SILENCE_TIMEOUT_HELLOS * helloIntervalMs;
-    if (byProcess.values().removeIf(subscriber -> nowMs - subscriber.heardMs > timeoutMs)) {
+    if (byProcess.values().removeIf(subscriber -> nowMs - subscriber.lastHelloMs > timeoutMs)) {
       chooseDeputies();
     }
   }
@@ -92,9 +92,10 @@
    * Returns whether at least half of the highest number of followers so far have sent a hello since
    * a time.
    */
-  boolean majorityHeardSince(long atMs) {
-    long heard = byProcess.values().stream().filter(known -> known.heardMs >= atMs).count();
-    return 2 * heard >= peakCount;
+  boolean majorityHeardSince(long sinceMs) {
+    long recentCount =
+        byProcess.values().stream().filter(known -> known.lastHelloMs >= sinceMs).count();
+    return 2 * recentCount >= peakCount;
   }
 
   int count() {
@@ -112,7 +113,7 @@
 
     private final PeerChannel channel;
     private final DeputyChoice.Candidate candidate;
-    private long heardMs;
+    private long lastHelloMs;
     private long expectedTargetsVersion;
     private long expectedRoutesVersion;
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
@@ -246,10 +246,10 @@
    *
    * @return whether the list comes from the last writer, as far as is known yet
    */
-  boolean onLeasesLeft(LeasesLeft left, long receivedMs) {
-    boolean newer = foreignLeases.isEmpty() || left.term() > foreignLeases.get().term();
-    if (left.term() != 0 && left.term() < term && newer) {
-      foreignLeases = Optional.of(left);
+  boolean onLeasesLeft(LeasesLeft remaining, long receivedMs) {
+    boolean newer = foreignLeases.isEmpty() || remaining.term() > foreignLeases.get().term();
+    if (remaining.term() != 0 && remaining.term() < term && newer) {
+      foreignLeases = Optional.of(remaining);
       foreignLeasesAtMs = receivedMs;
       planners.values().forEach(service -> limitForeignLeases(service.desk()));
       runCycle();
@@ -259,11 +259,12 @@
 
   private void limitForeignLeases(LeaseDesk desk) {
     foreignLeases
-        .filter(left -> left.term() == storedTerm && !storedMayBeStale)
+        .filter(remaining -> remaining.term() == storedTerm && !storedMayBeStale)
         .ifPresent(
-            left -> {
-              desk.limitForeignLeases(left.leases(), foreignLeasesAtMs);
-              log.write("foreign_leases_known", "of={} left={}", storedTerm, left.leases().size());
+            remaining -> {
+              desk.limitForeignLeases(remaining.leases(), foreignLeasesAtMs);
+              log.write(
+                  "foreign_leases_known", "of={} left={}", storedTerm, remaining.leases().size());
             });
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
@@ -16,33 +16,33 @@
 
   @Test
   void nothingIsKnownAtFirst() {
-    assertThat(leases.received().left().term()).isEqualTo(0);
+    assertThat(leases.received().remaining().term()).isEqualTo(0);
     assertThat(leases.leasesBefore(9, 0)).isEmpty();
   }
 
   @Test
   void remainingTimesShrinkWhileLeasesAreStored() {
-    leases.onReceived(left(3, 1_000, 5_000), 100);
-    assertThat(leases.leasesBefore(4, 2_100)).hasValue(left(3, 3_000));
+    leases.onReceived(remaining(3, 1_000, 5_000), 100);
+    assertThat(leases.leasesBefore(4, 2_100)).hasValue(remaining(3, 3_000));
   }
 
   @Test
   void theNewestTermIsReturned() {
-    leases.onOwnTermEnded(left(5, 500), 0);
-    leases.onReceived(left(3, 1_000), 0);
-    assertThat(leases.leasesBefore(6, 0)).hasValue(left(5, 500));
-    leases.onReceived(left(7, 700), 0);
-    leases.onReceived(left(6, 600), 0);
-    assertThat(leases.leasesBefore(8, 0)).hasValue(left(7, 700));
+    leases.onOwnTermEnded(remaining(5, 500), 0);
+    leases.onReceived(remaining(3, 1_000), 0);
+    assertThat(leases.leasesBefore(6, 0)).hasValue(remaining(5, 500));
+    leases.onReceived(remaining(7, 700), 0);
+    leases.onReceived(remaining(6, 600), 0);
+    assertThat(leases.leasesBefore(8, 0)).hasValue(remaining(7, 700));
   }
 
   @Test
   void onlyEarlierTermsAreReturned() {
-    leases.onReceived(left(3, 1_000), 0);
+    leases.onReceived(remaining(3, 1_000), 0);
     assertThat(leases.leasesBefore(3, 0)).isEmpty();
   }
 
-  private static LeasesLeft left(long term, long... leftMs) {
+  private static LeasesLeft remaining(long term, long... leftMs) {
     List<LeaseLeft> list = new ArrayList<>();
     for (long ms : leftMs) {
       list.add(new LeaseLeft(new ServiceId("core"), 0, 9, new TargetId("a"), ms));
