--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
@@ -35,7 +35,7 @@
 final class CrashCoordinator implements StateExchange.LocalState<CrashNews> {
 
   /** The other gateways, the state of the term and the persistent quarantine. */
-  interface Peers extends FleetAudience {
+  interface Peers extends FleetMessenger {
 
     /** Returns whether this process holds the term. */
     boolean isHolder();
@@ -221,7 +221,7 @@
       Set<RequestFingerprint> broadcast = new LinkedHashSet<>(own);
       broadcast.addAll(learned);
       broadcast.removeIf(changed -> !before.contains(changed) && !watched.contains(changed));
-      tellAll(broadcast);
+      sendToFollowers(broadcast);
       persistQuarantined();
     }
   }
@@ -246,9 +246,9 @@
     }
   }
 
-  private void tellAll(Set<RequestFingerprint> changed) {
+  private void sendToFollowers(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      peers.tellAll(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
+      peers.sendToFollowers(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
@@ -21,7 +21,7 @@
  * Connects the {@link CrashCoordinator} of this gateway with its traffic, the other gateways and
  * the store. Confined to the control thread.
  */
-final class CrashLink extends PeerAudience implements CrashCoordinator.Peers {
+final class CrashLink extends PeerMessenger implements CrashCoordinator.Peers {
 
   private final ControlThread control;
   private final TrafficReports reports;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
@@ -25,7 +25,7 @@
 final class DepartureCoordinator implements StateExchange.LocalState<DepartureNews> {
 
   private final DepartureTracker ledger = new DepartureTracker();
-  private final FleetAudience peers;
+  private final FleetMessenger peers;
   private final StateExchange<DepartureNews> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
@@ -41,7 +41,7 @@
    * @param onChange receives all leaving targets after each change; not null
    */
   DepartureCoordinator(
-      FleetAudience peers, MillisClock clock, DecisionLog log, Consumer<Set<TargetId>> onChange) {
+      FleetMessenger peers, MillisClock clock, DecisionLog log, Consumer<Set<TargetId>> onChange) {
     this.peers = peers;
     this.exchange = new StateExchange<>(this, peers);
     this.clock = clock;
@@ -78,7 +78,7 @@
   /** Applies changes and sends them to followers; only the holder of the term has followers. */
   private void applyChanges(Collection<TargetId> changed) {
     onChange.accept(ledger.targets());
-    peers.tellAll(updateOf(changed));
+    peers.sendToFollowers(updateOf(changed));
   }
 
   private DepartureNews updateOf(Collection<TargetId> targets) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
@@ -42,7 +42,7 @@
     this.onChange = onChange;
     this.coordinator =
         new DepartureCoordinator(
-            new PeerAudience(network, subscribers), clock, log, this::applyDepartures);
+            new PeerMessenger(network, subscribers), clock, log, this::applyDepartures);
   }
 
   void start() {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
@@ -7,66 +7,71 @@
 import java.util.Optional;
 
 /**
- * Remembers which leases earlier holders of the term left behind.
+ * Keeps the leases that earlier term holders left in force.
  *
- * <p>A holder that knows them need not wait for the longest lease that anybody might have granted.
- * Every gateway remembers, since the holder before may be gone with its host. All methods are for
+ * <p>A holder that has the list need not wait for the longest lease that anyone might have granted.
+ * Every gateway keeps it, since the previous holder may be lost with its host. All methods run on
  * the control thread.
  */
 final class EarlierLeases {
 
-  private Memory own = new Memory(new LeasesLeft(0, List.of()), 0);
-  private Memory heard = own;
+  private Snapshot own = new Snapshot(new LeasesLeft(0, List.of()), 0);
+  private Snapshot received = own;
 
-  /** A term of this process is over. */
-  void onOwnTermEnded(LeasesLeft left, long nowMs) {
-    own = new Memory(left, nowMs);
+  /** Records the remaining leases at the end of a term of this process. */
+  void onOwnTermEnded(LeasesLeft remaining, long nowMs) {
+    own = new Snapshot(remaining, nowMs);
   }
 
-  /** Another process told what it, or a holder before it, left behind. */
-  void onHeard(LeasesLeft left, long nowMs) {
-    if (left.term() > heard.left().term()) {
-      heard = new Memory(left, nowMs);
+  /**
+   * Records remaining leases received from another process, its own or those of an earlier holder.
+   */
+  void onReceived(LeasesLeft remaining, long nowMs) {
+    if (remaining.term() > received.remaining().term()) {
+      received = new Snapshot(remaining, nowMs);
     }
   }
 
-  /** Returns what other processes told last; of term 0 if they told nothing. */
-  Memory heard() {
-    return heard;
+  /** Returns the newest leases received from other processes; with term 0 if there are none. */
+  Snapshot received() {
+    return received;
   }
 
-  /** Returns what the newest term known left behind, with what is left of each lease by now. */
-  Optional<LeasesLeft> leftBefore(long term, long nowMs) {
-    Memory newest = own.left().term() > heard.left().term() ? own : heard;
-    if (newest.left().term() == 0 || newest.left().term() >= term) {
+  /**
+   * Returns the leases of the newest known term, if it is earlier than the given one, with the time
+   * that each has left.
+   */
+  Optional<LeasesLeft> leasesBefore(long term, long nowMs) {
+    Snapshot newest = own.remaining().term() > received.remaining().term() ? own : received;
+    if (newest.remaining().term() == 0 || newest.remaining().term() >= term) {
       return Optional.empty();
     }
     return Optional.of(newest.at(nowMs));
   }
 
   /**
-   * What was left at one moment.
+   * The remaining leases at one point in time.
    *
-   * @param left the leases; not null
-   * @param toldMs the moment; milliseconds
+   * @param remaining the leases; not null
+   * @param takenMs the point in time; milliseconds
    */
-  record Memory(LeasesLeft left, long toldMs) {
+  record Snapshot(LeasesLeft remaining, long takenMs) {
 
     private LeasesLeft at(long nowMs) {
-      long pastMs = nowMs - toldMs;
+      long elapsedMs = nowMs - takenMs;
       List<LeaseLeft> running = new ArrayList<>();
-      for (LeaseLeft lease : left.leases()) {
-        if (lease.leftMs() > pastMs) {
+      for (LeaseLeft lease : remaining.leases()) {
+        if (lease.leftMs() > elapsedMs) {
           running.add(
               new LeaseLeft(
                   lease.service(),
                   lease.firstKey(),
                   lease.lastKey(),
                   lease.target(),
-                  lease.leftMs() - pastMs));
+                  lease.leftMs() - elapsedMs));
         }
       }
-      return new LeasesLeft(left.term(), running);
+      return new LeasesLeft(remaining.term(), running);
     }
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
@@ -25,7 +25,7 @@
 import java.util.function.Function;
 
 /**
- * Everything of a gateway that is not traffic: configuration, term, targets, owners.
+ * The control plane of a gateway: configuration, term, targets and owners.
  *
  * @since 0.2
  */
@@ -33,15 +33,15 @@
 
   private static final long CONNECT_TIMEOUT_MS = 500;
   private static final long KEEP_ALIVE_MS = 1_000;
-  private static final long SILENT_MS = 3_000;
+  private static final long SILENCE_TIMEOUT_MS = 3_000;
   private static final long BACKOFF_MIN_MS = 50;
   private static final long BACKOFF_MAX_MS = 500;
   private static final int QUEUE_CAPACITY = 256;
 
   /**
-   * When a whole fleet starts for the first time, one gateway looks for the term first and the
-   * others find it taken: 95 that all looked at once cost 800 calls of the store. Nobody is served
-   * yet.
+   * Start delay of all gateways but the first candidate when a whole fleet starts for the first
+   * time. The others find the term taken then; 95 gateways that tried to take it at once made 800
+   * calls to the store. No client is served yet at that point.
    */
   private static final long FIRST_START_DELAY_MS = 1_000;
 
@@ -61,21 +61,21 @@
   private final TermLease termLease;
   private final Function<TargetId, OptionalDouble> limits;
   private final Consumer<TargetId> onLeaving;
-  private Optional<HolderDuties> duties = Optional.empty();
+  private Optional<TermCoordinator> coordinator = Optional.empty();
   private volatile boolean holdsTerm;
-  private boolean storeCameBack;
+  private boolean storeRestored;
 
   /**
-   * Creates the control of a gateway. Opens the listener for peers.
+   * Creates the control plane of a gateway and opens the listener for peers.
    *
-   * @param ports what it needs from outside; not null
-   * @param settings what it has to know; not null
-   * @param sharedKey proves that a peer belongs to the fleet; not null
-   * @param state where knowledge goes; not null
+   * @param ports external services; not null
+   * @param settings settings of the gateway; not null
+   * @param sharedKey authenticates peers of the fleet; not null
+   * @param state routing state to update; not null
    * @param control the control thread; not null
-   * @param clock the time; not null
-   * @param log takes decisions; not null
-   * @param reports what traffic measured; not null
+   * @param clock the clock; not null
+   * @param log log of control decisions; not null
+   * @param reports measurements of the traffic; not null
    */
   public FleetControl(
       GatewayPorts ports,
@@ -103,7 +103,7 @@
                 sharedKey,
                 CONNECT_TIMEOUT_MS,
                 KEEP_ALIVE_MS,
-                SILENT_MS,
+                SILENCE_TIMEOUT_MS,
                 BACKOFF_MIN_MS,
                 BACKOFF_MAX_MS,
                 QUEUE_CAPACITY),
@@ -112,11 +112,13 @@
             control,
             clock,
             random.split());
-    FleetPace pace = new FleetPace(state);
+    FleetTimings timings = new FleetTimings(state);
     Deputies deputies = new Deputies(network.localAddress());
-    Reliance reliance = new Reliance(pace::confirmedMs, () -> !deputies.mustFollowStore());
+    PeerReliance peerReliance =
+        new PeerReliance(timings::confirmedMs, () -> !deputies.mustFollowStore());
     this.configuration =
-        new ConfigurationWatch(ports, state, control, clock, log, reliance, this::onConfiguration);
+        new ConfigurationWatch(
+            ports, state, control, clock, log, peerReliance, this::onConfigurationChanged);
     this.link =
         new FleetLink(
             network,
@@ -129,9 +131,9 @@
             settings,
             configuration,
             reports,
-            pace,
-            this::onReplaced,
-            new LeasedTerm(),
+            timings,
+            this::onTermReplaced,
+            new TermLeaseKnowledge(),
             deputies,
             new CrashLedger(random.nextDouble()));
     this.termLease =
@@ -146,7 +148,7 @@
             settings.firstCandidate(),
             settings.processorCores(),
             settings.leases().holderGraceMs(),
-            reliance,
+            peerReliance,
             this);
   }
 
@@ -154,16 +156,16 @@
     link.onMessage(sender, message);
   }
 
-  private void onReplaced() {
+  private void onTermReplaced() {
     termLease.onReplaced();
   }
 
-  private void onConfiguration(StoreValue value) {
-    link.tellConfiguration(value.revision());
+  private void onConfigurationChanged(StoreValue value) {
+    link.announceConfiguration(value.revision());
   }
 
   /**
-   * Returns for how long nobody has confirmed the configuration. For any thread.
+   * Returns the time since the configuration was last confirmed as current. Thread-safe.
    *
    * @return milliseconds
    */
@@ -171,7 +173,7 @@
     return configuration.ageMs();
   }
 
-  /** Starts. */
+  /** Starts the peer network and, after a delay on the first start of a fleet, all other parts. */
   public void start() {
     network.start();
     boolean first = settings.firstCandidate() || !settings.firstStart();
@@ -186,20 +188,24 @@
     link.start();
   }
 
-  /** The store has lost what it acknowledged last: the holder writes what it knows again. */
+  /**
+   * Handles a store that was restored from an older copy and has lost acknowledged writes: the
+   * holder writes its state again.
+   */
   private void onStoreCameBack() {
     log.write("store_came_back_older", "epoch={}", ports.store().epoch());
-    storeCameBack = true;
+    storeRestored = true;
     termLease.onStoreCameBack();
-    duties.ifPresent(this::writeAgain);
+    coordinator.ifPresent(this::rewriteOwnership);
   }
 
   /**
-   * The older store may name this process as the holder although another has replaced it: only one
-   * that most gateways still follow may write what it knows.
+   * Rewrites the ownership tables, or gives up the term. The restored store may name this process
+   * as the holder although another one has replaced it, so it may write only while most gateways
+   * still follow it.
    */
-  private void writeAgain(HolderDuties holder) {
-    if (link.isFollowedByMost()) {
+  private void rewriteOwnership(TermCoordinator holder) {
+    if (link.hasMajorityOfFollowers()) {
       holder.rewrite(termLease::reacquire);
     } else {
       termLease.relinquish("store_came_back_older");
@@ -207,20 +213,23 @@
   }
 
   /**
-   * This host was suspended: what is believed is looked at again before it is acted on. For the
-   * control thread.
+   * Verifies the term and the targets again after this host resumes from a suspension, before
+   * acting on them. Runs on the control thread.
    */
   public void onWoken() {
     termLease.onWoken();
     link.onWoken();
   }
 
-  /** Gives the term up, so that another gateway takes it at once; goes on routing. */
+  /** Gives up the term so that another gateway can take it at once; routing continues. */
   public void resign() {
     control.execute(termLease::close);
   }
 
-  /** Ends the duties of a holder, if it is one, and tells the others. Returns when that is done. */
+  /**
+   * Stops coordinating the fleet if this process holds the term, and sends the remaining leases to
+   * the other gateways. Returns when that is done.
+   */
   public void retire() {
     CompletableFuture<Void> done = new CompletableFuture<>();
     control.execute(
@@ -231,14 +240,14 @@
     done.join();
   }
 
-  /** Ends everything. */
+  /** Stops following the configuration and closes the peer network. */
   public void close() {
     control.execute(configuration::close);
     network.close();
   }
 
   /**
-   * Tells whether this process holds the term. For any thread.
+   * Returns whether this process holds the term. Thread-safe.
    *
    * @return true between taking and losing it
    */
@@ -248,8 +257,8 @@
 
   @Override
   public void onGained(long term) {
-    HolderDuties next =
-        new HolderDuties(
+    TermCoordinator next =
+        new TermCoordinator(
             ports,
             state,
             control,
@@ -260,21 +269,21 @@
             term,
             termLease,
             link,
-            storeCameBack,
+            storeRestored,
             limits,
             onLeaving);
-    duties = Optional.of(next);
+    coordinator = Optional.of(next);
     holdsTerm = true;
-    link.setDuties(duties);
+    link.setCoordinator(coordinator);
     next.start();
   }
 
   @Override
   public void onLost() {
-    duties.ifPresent(HolderDuties::close);
-    duties = Optional.empty();
+    coordinator.ifPresent(TermCoordinator::close);
+    coordinator = Optional.empty();
     holdsTerm = false;
-    link.setDuties(duties);
+    link.setCoordinator(coordinator);
   }
 
   @Override
@@ -283,8 +292,8 @@
     link.setHolder(peerAddress);
   }
 
-  /** The link is made before the lease of the term. */
-  private final class LeasedTerm implements TermView {
+  /** Forwards to the term lease, which is created after the link. */
+  private final class TermLeaseKnowledge implements TermView {
 
     @Override
     public boolean onHeard(long term, String holderAddress, UpperTime at) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -45,57 +45,75 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps this gateway and the holder of the term in touch.
+ * Exchanges state between this gateway and the term holder.
  *
- * <p>Every gateway says hello to the holder at a pace; the holder answers with a beat and sends the
- * targets and the owners whenever they change. A gateway that hears nothing for a while follows the
- * registry of targets itself. All methods are for the control thread.
+ * <p>Every gateway sends hellos to the holder at an interval. The holder answers each with a beat
+ * and sends the targets and the owners whenever they change. A gateway that receives nothing for a
+ * while follows the target registry itself. All methods run on the control thread.
  *
  * @since 0.2
  */
-final class FleetLink implements HolderDuties.Audience {
+final class FleetLink implements TermCoordinator.Listener {
 
-  /** Pause between two reports of load: a hot key has to be noticed within a second. */
-  private static final long KEY_WORK_MS = 150;
+  /** Interval between two load reports; a hot key has to be noticed within a second. */
+  private static final long KEY_LOAD_INTERVAL_MS = 150;
 
-  /** Pause between two reports of times: the speed of a target seldom changes. */
-  private static final long TARGET_TIMES_MS = 1_000;
+  /** Interval between two reports of response times; the speed of a target seldom changes. */
+  private static final long TARGET_TIMES_INTERVAL_MS = 1_000;
 
-  /** A holder whose knowledge of the targets is older is not heard: a call, its pace and some. */
+  /**
+   * A beat whose registry age exceeds this does not count as a sign of life of the holder: it
+   * covers one registry call, the pause between two calls, and some margin.
+   */
   static final long STALE_REGISTRY_MS = 1_300;
 
   /**
-   * Older knowledge of the targets is looked up here: two calls of the holder to a slow store, its
-   * pause, the longest pause between hellos; what is left of 1.95 s is for the look.
+   * Age of the known targets from which this gateway queries the registry itself. It covers two
+   * calls of the holder to a slow store, the pause between them and the longest interval between
+   * hellos; the rest of the 1.95 s after which sends are forbidden is left for its own query.
    */
-  private static final long OUTDATED_TARGETS_MS = 1_500;
+  private static final long MAX_TARGETS_AGE_MS = 1_500;
 
-  /** A holder that knows nothing newer is not followed again. */
+  /**
+   * This gateway returns to following the holder only if the targets of the holder are at most this
+   * old.
+   */
   private static final long FRESH_TARGETS_MS = 1_100;
 
-  /** Pause between two looks at the age of what is known. */
-  private static final long CHECK_MS = 50;
+  /** Interval between two checks of the age of the known targets. */
+  private static final long AGE_CHECK_INTERVAL_MS = 50;
 
-  /** In a wide fleet the registry takes several calls; a holder that is there may be faster. */
-  private static final long LIST_AFTER_MS = 60;
+  /**
+   * Delay of the first registry listing. In a large fleet a listing takes several calls, and a
+   * holder that already runs may be faster.
+   */
+  private static final long FIRST_LISTING_DELAY_MS = 60;
 
-  /** Pause between two questions to deputies: a few fit into the time for which a beat counts. */
-  private static final long ASK_DEPUTIES_MS = 300;
+  /**
+   * Interval between two queries to deputies; several fit into the time for which a beat counts.
+   */
+  private static final long DEPUTY_QUERY_INTERVAL_MS = 300;
 
-  /** A beat may be so late. */
-  private static final long BEAT_DELAY_MS = 150;
+  /** Tolerated delay of a beat. */
+  private static final long MAX_BEAT_DELAY_MS = 150;
 
-  /** A holder that the store answers confirms what it knows more often than this. */
-  private static final long FRESH_MS = 1_200;
+  /**
+   * While the store answers, the holder confirms its term and configuration more often than this.
+   */
+  private static final long FRESH_BEAT_AGE_MS = 1_200;
 
   /**
-   * Whom the store has answered so lately it does not leave without answers in general. Less than
-   * the age at which knowledge of targets forbids sends, so that they go on if it is away.
+   * If the store has answered another gateway within this time, it does not count as silent.
+   * Shorter than the age from which sends are forbidden because of outdated targets, so that sends
+   * continue during a store outage.
    */
-  private static final long ANSWERED_LATELY_MS = 1_700;
+  private static final long RECENT_STORE_ANSWER_MS = 1_700;
 
-  /** The store usually answers a process that starts within a few milliseconds. */
-  private static final long ASK_SEEDS_AFTER_MS = 500;
+  /**
+   * Delay before seed peers are queried; the store usually answers a starting process within a few
+   * milliseconds.
+   */
+  private static final long SEED_QUERY_DELAY_MS = 500;
 
   private final PeerNetwork network;
   private final RoutingState state;
@@ -106,25 +124,25 @@
   private final GatewaySettings settings;
   private final StartupReader firstLook;
   private final TrafficReports reports;
-  private final FleetPace pace;
+  private final FleetTimings timings;
   private final TermView terms;
   private final Deputies deputies;
   private final ConfigurationWatch configuration;
   private final long startedMs;
   private final Subscribers subscribers = new Subscribers();
-  private final LeaseInheritance inheritance;
+  private final EarlierLeaseExchange earlierLeases;
   private final CrashLink crashes;
   private final QuotaLink quotas;
   private final DepartureLink departures;
-  private final FallbackRegistryFollower ownLook;
+  private final FallbackRegistryFollower ownRegistryLook;
   private final FleetView view = new FleetView();
-  private volatile Optional<HolderDuties> duties = Optional.empty();
+  private volatile Optional<TermCoordinator> coordinator = Optional.empty();
   private Optional<String> holderAddress = Optional.empty();
-  private UpperTime heard;
-  private UpperTime freshBeat;
+  private UpperTime holderHeard;
+  private UpperTime lastFreshBeat;
 
-  /** When the store last answered another gateway, as far as is known. */
-  private volatile UpperTime othersAnswered = UpperTime.NEVER;
+  /** The latest time at which the store is known to have answered another gateway. */
+  private volatile UpperTime storeAnsweredOthers = UpperTime.NEVER;
 
   private boolean followsHolder;
   private volatile Optional<Long> firstListingDueMs = Optional.empty();
@@ -140,8 +158,8 @@
       GatewaySettings settings,
       ConfigurationWatch configuration,
       TrafficReports reports,
-      FleetPace pace,
-      Runnable onReplaced,
+      FleetTimings timings,
+      Runnable onTermReplaced,
       TermView terms,
       Deputies deputies,
       CrashLedger ledger) {
@@ -152,10 +170,10 @@
     this.log = log;
     this.ports = ports;
     this.settings = settings;
-    this.firstLook = new StartupReader(ports, control, clock, log, codec, new FirstKnowledge());
+    this.firstLook = new StartupReader(ports, control, clock, log, codec, new FirstLookListener());
     this.reports = reports;
-    this.pace = pace;
-    this.inheritance = new LeaseInheritance(network, subscribers, clock, onReplaced);
+    this.timings = timings;
+    this.earlierLeases = new EarlierLeaseExchange(network, subscribers, clock, onTermReplaced);
     this.crashes =
         new CrashLink(
             network, subscribers, ports.store(), codec, control, clock, log, reports, ledger);
@@ -171,59 +189,59 @@
             clock,
             log,
             reports.departures(),
-            () -> duties.ifPresent(HolderDuties::onDepartures));
-    this.ownLook = new FallbackRegistryFollower(ports, state, control, clock, log);
+            () -> coordinator.ifPresent(TermCoordinator::onDepartures));
+    this.ownRegistryLook = new FallbackRegistryFollower(ports, state, control, clock, log);
     this.terms = terms;
     this.deputies = deputies;
     this.configuration = configuration;
     this.startedMs = clock.nowMs();
-    this.heard = clock.upper();
-    this.freshBeat = clock.upper();
+    this.holderHeard = clock.upper();
+    this.lastFreshBeat = clock.upper();
   }
 
   void start() {
     crashes.start();
     quotas.start();
     departures.start();
-    state.watch(configuration::confirmed, pace::configurationMaxAgeMs, this::isStoreSilent);
+    state.watch(configuration::confirmed, timings::configurationMaxAgeMs, this::isStoreSilent);
     if (!settings.firstStart()) {
       firstLook.readOwners();
-      control.schedule(this::listIfUnaware, LIST_AFTER_MS);
+      control.schedule(this::listIfTargetsUnknown, FIRST_LISTING_DELAY_MS);
     }
-    repeat(this::onPace, pace::helloMs);
-    repeat(this::checkAge, () -> CHECK_MS);
-    repeat(this::askDeputies, () -> ASK_DEPUTIES_MS);
-    repeat(this::reportKeyWork, () -> pace.widened(KEY_WORK_MS));
-    repeat(this::reportTargetTimes, () -> pace.widened(TARGET_TIMES_MS));
+    repeat(this::onHelloDue, timings::helloIntervalMs);
+    repeat(this::checkAge, () -> AGE_CHECK_INTERVAL_MS);
+    repeat(this::queryDeputies, () -> DEPUTY_QUERY_INTERVAL_MS);
+    repeat(this::reportKeyLoad, () -> timings.scaledToFleet(KEY_LOAD_INTERVAL_MS));
+    repeat(this::reportTargetTimes, () -> timings.scaledToFleet(TARGET_TIMES_INTERVAL_MS));
   }
 
-  private void listIfUnaware() {
+  private void listIfTargetsUnknown() {
     if (state.targetsConfirmed().equals(UpperTime.NEVER)) {
       firstListingDueMs = Optional.of(clock.nowMs() + RegistryFollower.SILENT_AFTER_MS);
       firstLook.listTargets();
     }
   }
 
-  private void repeat(Runnable task, LongSupplier pauseMs) {
+  private void repeat(Runnable task, LongSupplier intervalMs) {
     control.schedule(
         () -> {
-          repeat(task, pauseMs);
+          repeat(task, intervalMs);
           task.run();
         },
-        pauseMs.getAsLong());
+        intervalMs.getAsLong());
   }
 
-  /** This gateway holds the term now, or no longer. */
-  void setDuties(Optional<HolderDuties> now) {
-    heard = clock.upper();
+  /** Sets the coordinator while this gateway holds the term; empty once it does not. */
+  void setCoordinator(Optional<TermCoordinator> now) {
+    holderHeard = clock.upper();
     followsHolder = false;
-    duties.ifPresent(inheritance::onLost);
-    duties = now;
+    coordinator.ifPresent(earlierLeases::onLost);
+    coordinator = now;
     if (now.isPresent()) {
       Optional<String> holderBefore = holderAddress;
       holderAddress = Optional.empty();
-      inheritance.onGained(now.get(), holderBefore);
-      ownLook.close();
+      earlierLeases.onGained(now.get(), holderBefore);
+      ownRegistryLook.close();
       crashes.onGained();
       quotas.onGained();
     } else {
@@ -234,10 +252,10 @@
   }
 
   void setHolder(String address) {
-    if (duties.isEmpty()) {
+    if (coordinator.isEmpty()) {
       holderAddress = Optional.of(address);
-      heard = clock.upper();
-      sayHello();
+      holderHeard = clock.upper();
+      sendHello();
     }
   }
 
@@ -247,14 +265,14 @@
     } else if (message instanceof FleetNews news) {
       onNews(news);
     } else if (message instanceof HolderEnded ended) {
-      inheritance.onHolderEnded(sender, ended);
-    } else if (message instanceof LeasesLeft left) {
-      inheritance.onLeasesLeft(left);
+      earlierLeases.onHolderEnded(sender, ended);
+    } else if (message instanceof LeasesLeft remaining) {
+      earlierLeases.onLeasesLeft(remaining);
     } else if (message instanceof KeyLoadReport
         || message instanceof TargetTimesReport
         || message instanceof TargetReplaced
         || message instanceof TargetBackoffsReport) {
-      duties.ifPresent(d -> d.onReport(message));
+      coordinator.ifPresent(current -> current.onReport(message));
     } else if (message instanceof FleetBeat beat) {
       onBeat(sender, beat);
     } else if (message instanceof FollowerBeat beat) {
@@ -276,98 +294,107 @@
     }
   }
 
-  private void onPace() {
-    if (duties.isPresent()) {
-      inheritance.ask();
+  private void onHelloDue() {
+    if (coordinator.isPresent()) {
+      earlierLeases.requestLeases();
       crashes.onHolderAndDeputies(Optional.empty(), subscribers.deputies());
       quotas.onHolderAndDeputies(Optional.empty(), subscribers.deputies(), subscribers.count() + 1);
       departures.onHolderAndDeputies(Optional.empty(), subscribers.deputies());
-      state.setMovesPossible(duties.get().termAgeMs() <= FRESH_MS, clock.nowMs());
-      subscribers.dropSilent(clock.nowMs(), pace.helloMs());
+      state.setMovesPossible(coordinator.get().termAgeMs() <= FRESH_BEAT_AGE_MS, clock.nowMs());
+      subscribers.removeSilent(clock.nowMs(), timings.helloIntervalMs());
       updateProcesses();
       return;
     }
-    sayHello();
-    askSeeds();
-    boolean silent = clock.upper().sinceMs(heard) > pace.silentMs();
-    if (silent && !ownLook.isOpen()) {
-      lookOneself();
+    sendHello();
+    querySeedPeers();
+    boolean silent = clock.upper().sinceMs(holderHeard) > timings.silenceTimeoutMs();
+    if (silent && !ownRegistryLook.isOpen()) {
+      followRegistryDirectly();
     }
   }
 
   /**
-   * What is known of the targets must not grow old unnoticed, for whatever reason: the holder is
-   * gone, or cut off, or a change that it told was lost.
+   * Keeps the known targets from growing outdated unnoticed: the holder may have ended or be cut
+   * off, or a change that it sent may have been lost.
    */
   private void checkAge() {
-    if (duties.isPresent()) {
-      state.confirmTargets(duties.get().targetsConfirmed());
+    if (coordinator.isPresent()) {
+      state.confirmTargets(coordinator.get().targetsConfirmed());
       return;
     }
-    ownLook.confirmTargets();
-    boolean unaware = state.targetsConfirmed().equals(UpperTime.NEVER);
-    boolean outdated = clock.upper().sinceMs(state.targetsConfirmed()) > OUTDATED_TARGETS_MS;
-    if (outdated && !unaware && !ownLook.isOpen()) {
-      lookOneself();
+    ownRegistryLook.confirmTargets();
+    boolean targetsUnknown = state.targetsConfirmed().equals(UpperTime.NEVER);
+    boolean outdated = clock.upper().sinceMs(state.targetsConfirmed()) > MAX_TARGETS_AGE_MS;
+    if (outdated && !targetsUnknown && !ownRegistryLook.isOpen()) {
+      followRegistryDirectly();
     }
   }
 
   /**
-   * Tells whether the store leaves the fleet without an answer, as far as this gateway knows. One
-   * that it refuses alone, or that gave its calls up by itself, has to hear from others. For any
-   * thread.
+   * Returns whether the store answers no gateway, as far as this one knows. If the store refuses
+   * only this gateway, or this gateway gave its calls up by itself, it learns that from the other
+   * gateways. Thread-safe.
    */
   private boolean isStoreSilent() {
-    return isOwnWaySilent() && clock.upper().sinceMs(othersAnswered) > ANSWERED_LATELY_MS;
+    return isStoreSilentToThisGateway()
+        && clock.upper().sinceMs(storeAnsweredOthers) > RECENT_STORE_ANSWER_MS;
   }
 
-  private boolean isOwnWaySilent() {
-    Optional<HolderDuties> held = duties;
+  private boolean isStoreSilentToThisGateway() {
+    Optional<TermCoordinator> held = coordinator;
     if (held.isPresent()) {
       return held.get().isStoreSilent();
     }
-    boolean unaware = state.targetsConfirmed().equals(UpperTime.NEVER);
-    return ownLook.isSilent()
-        || (unaware && firstListingDueMs.filter(due -> clock.nowMs() >= due).isPresent());
+    boolean targetsUnknown = state.targetsConfirmed().equals(UpperTime.NEVER);
+    return ownRegistryLook.isSilent()
+        || (targetsUnknown && firstListingDueMs.filter(due -> clock.nowMs() >= due).isPresent());
   }
 
-  /** This host was suspended: the holder and its deputies are asked at once. */
+  /** Queries the holder and its deputies at once after this host resumes from a suspension. */
   void onWoken() {
-    onPace();
-    askDeputies();
+    onHelloDue();
+    queryDeputies();
   }
 
-  /** While nothing is known, some gateways of the fleet are asked; the store may be silent. */
-  private void askSeeds() {
+  /**
+   * Queries the seed peers while the configuration or the holder is unknown, since the store may be
+   * silent.
+   */
+  private void querySeedPeers() {
     boolean lost = state.current().configuration().isEmpty() || holderAddress.isEmpty();
-    if (lost && clock.nowMs() - startedMs > ASK_SEEDS_AFTER_MS) {
+    if (lost && clock.nowMs() - startedMs > SEED_QUERY_DELAY_MS) {
       settings.seedPeers().forEach(address -> network.send(address, hello()));
     }
   }
 
-  /** The holder has missed a beat, or the store does not answer it: others may know more. */
-  private void askDeputies() {
-    boolean overdue = clock.upper().sinceMs(freshBeat) > pace.helloMs() + BEAT_DELAY_MS;
-    if (duties.isEmpty() && overdue) {
+  /**
+   * Queries deputies if no fresh beat has arrived in time: the holder has missed one, or the store
+   * does not answer it, and other gateways may have newer state.
+   */
+  private void queryDeputies() {
+    boolean overdue =
+        clock.upper().sinceMs(lastFreshBeat) > timings.helloIntervalMs() + MAX_BEAT_DELAY_MS;
+    if (coordinator.isEmpty() && overdue) {
       deputies.next().forEach(address -> network.send(address, hello()));
     }
   }
 
   private void onFollowerBeat(FollowerBeat beat) {
-    if (duties.isPresent()) {
+    if (coordinator.isPresent()) {
       return;
     }
-    UpperTime asked = new UpperTime(beat.helloSentMs());
-    noteOthersAnswered(asked, Math.min(beat.termAgeMs(), beat.configurationAgeMs()));
-    configuration.onHeard(beat.configurationRevision(), asked.minusMs(beat.configurationAgeMs()));
-    terms.onHeard(beat.term(), beat.holderAddress(), asked.minusMs(beat.termAgeMs()));
+    UpperTime helloSent = new UpperTime(beat.helloSentMs());
+    recordStoreAnsweredOthers(helloSent, Math.min(beat.termAgeMs(), beat.configurationAgeMs()));
+    configuration.onHeard(
+        beat.configurationRevision(), helloSent.minusMs(beat.configurationAgeMs()));
+    terms.onHeard(beat.term(), beat.holderAddress(), helloSent.minusMs(beat.termAgeMs()));
   }
 
-  private void noteOthersAnswered(UpperTime asked, long ageMs) {
-    othersAnswered = othersAnswered.latest(asked.minusMs(ageMs));
+  private void recordStoreAnsweredOthers(UpperTime helloSent, long ageMs) {
+    storeAnsweredOthers = storeAnsweredOthers.latest(helloSent.minusMs(ageMs));
   }
 
-  private void reportKeyWork() {
+  private void reportKeyLoad() {
     reports.takeKeyLoad().forEach(this::report);
     reports.takeReplacedTargets().forEach(this::report);
     reportBackoffs(reports.takeStartedBackoffsMs());
@@ -386,15 +413,15 @@
     }
   }
 
-  private void report(FleetMessage measured) {
-    if (duties.isPresent()) {
-      duties.get().onReport(measured);
+  private void report(FleetMessage message) {
+    if (coordinator.isPresent()) {
+      coordinator.get().onReport(message);
     } else {
-      holderAddress.ifPresent(address -> network.send(address, measured));
+      holderAddress.ifPresent(address -> network.send(address, message));
     }
   }
 
-  private void sayHello() {
+  private void sendHello() {
     holderAddress.ifPresent(address -> network.send(address, hello()));
   }
 
@@ -410,56 +437,58 @@
         departures.digest());
   }
 
-  private void lookOneself() {
+  private void followRegistryDirectly() {
     log.write("holder_silent", "holder={}", holderAddress.orElse("-"));
-    ownLook.open();
+    ownRegistryLook.open();
     followsHolder = false;
-    view.distrustTargets();
+    view.invalidateTargets();
   }
 
   /**
-   * Takes the holder's answer to a hello. How long it was under way is not known: it is as new as
-   * the hello.
+   * Handles the answer of the holder to a hello. The time that the beat was in transit is unknown,
+   * so its content is taken to be as old as the hello.
    */
   private void onBeat(PeerChannel holder, FleetBeat beat) {
-    UpperTime asked = new UpperTime(beat.helloSentMs());
-    UpperTime confirmed = asked.minusMs(beat.termAgeMs());
-    if (duties.isPresent() || !terms.onHeard(beat.term(), holder.peerAddress(), confirmed)) {
+    UpperTime helloSent = new UpperTime(beat.helloSentMs());
+    UpperTime confirmed = helloSent.minusMs(beat.termAgeMs());
+    if (coordinator.isPresent() || !terms.onHeard(beat.term(), holder.peerAddress(), confirmed)) {
       return;
     }
     deputies.onNamed(beat.deputies());
     crashes.onHolderAndDeputies(holderAddress, deputies.others());
     quotas.onHolderAndDeputies(holderAddress, deputies.others(), Math.max(1, beat.processes()));
     departures.onHolderAndDeputies(holderAddress, deputies.others());
-    state.setMovesPossible(beat.termAgeMs() <= FRESH_MS, clock.nowMs());
-    if (Math.max(beat.termAgeMs(), beat.configurationAgeMs()) <= FRESH_MS) {
-      freshBeat = clock.upper();
+    state.setMovesPossible(beat.termAgeMs() <= FRESH_BEAT_AGE_MS, clock.nowMs());
+    if (Math.max(beat.termAgeMs(), beat.configurationAgeMs()) <= FRESH_BEAT_AGE_MS) {
+      lastFreshBeat = clock.upper();
     }
     if (beat.registryAgeMs() <= STALE_REGISTRY_MS) {
-      heard = clock.upper();
+      holderHeard = clock.upper();
     }
-    noteOthersAnswered(asked, beat.registryAgeMs());
-    confirmTargets(beat, asked);
-    configuration.onHeard(beat.configurationRevision(), asked.minusMs(beat.configurationAgeMs()));
+    recordStoreAnsweredOthers(helloSent, beat.registryAgeMs());
+    confirmTargets(beat, helloSent);
+    configuration.onHeard(
+        beat.configurationRevision(), helloSent.minusMs(beat.configurationAgeMs()));
     if (state.current().processes() != beat.processes()) {
       state.update(snapshot -> snapshot.withProcesses(Math.max(1, beat.processes())));
     }
   }
 
   /**
-   * The holder's word confirms only the targets that it has told. A gateway that looks itself
-   * follows the holder again once that knows nearly as much.
+   * Confirms the known targets if this gateway has received every change that the holder has sent.
+   * A gateway that follows the registry itself returns to the holder once the state of the holder
+   * is nearly as new.
    */
-  private void confirmTargets(FleetBeat beat, UpperTime asked) {
-    TargetsPush told = view.targets();
-    boolean current = told.term() == beat.term() && told.version() >= beat.targetsVersion();
+  private void confirmTargets(FleetBeat beat, UpperTime helloSent) {
+    TargetsPush received = view.targets();
+    boolean current = received.term() == beat.term() && received.version() >= beat.targetsVersion();
     if (!current) {
       return;
     }
-    UpperTime confirmed = asked.minusMs(beat.registryAgeMs());
+    UpperTime confirmed = helloSent.minusMs(beat.registryAgeMs());
     if (!followsHolder && clock.upper().sinceMs(confirmed) <= FRESH_TARGETS_MS) {
       followsHolder = true;
-      ownLook.close();
+      ownRegistryLook.close();
       installTargets();
     }
     if (followsHolder) {
@@ -468,21 +497,21 @@
   }
 
   private void onTargetsPush(TargetsPush push) {
-    if (duties.isEmpty() && view.take(push) && followsHolder) {
+    if (coordinator.isEmpty() && view.apply(push) && followsHolder) {
       installTargets();
     }
   }
 
   private void onTargetsChange(TargetsChange change) {
-    if (duties.isPresent()) {
+    if (coordinator.isPresent()) {
       return;
     }
-    if (view.take(change)) {
+    if (view.apply(change)) {
       if (followsHolder) {
         installTargets();
       }
     } else if (change.version() > view.targets().version()) {
-      view.distrustTargets();
+      view.invalidateTargets();
     }
   }
 
@@ -492,13 +521,13 @@
   }
 
   private void onRoutesPush(RoutesPush push) {
-    if (duties.isEmpty() && view.take(push)) {
+    if (coordinator.isEmpty() && view.apply(push)) {
       installRoutes();
     }
   }
 
   private void onRoutesChange(RoutesChange change) {
-    if (duties.isEmpty() && view.take(change)) {
+    if (coordinator.isEmpty() && view.apply(change)) {
       installRoutes();
     }
   }
@@ -512,27 +541,34 @@
     state.update(snapshot -> snapshot.withOwners(owners, version));
   }
 
-  /** A process that starts while the store is silent learns here what it needs. */
-  private void tellNews(PeerChannel sender) {
+  /**
+   * Sends the configuration, the holder, the targets and the routes to a process that has just
+   * started, which may get no answer from the store.
+   */
+  private void sendSnapshot(PeerChannel sender) {
     StoreValue known = configuration.newest().orElse(new StoreValue(new byte[0], 0));
     sender.send(
         new FleetNews(
             known.revision(),
             known.value(),
-            duties.isPresent() ? network.localAddress() : holderAddress.orElse(""),
+            coordinator.isPresent() ? network.localAddress() : holderAddress.orElse(""),
             new TargetsPush(0, 0, List.copyOf(state.current().targets())),
             view.routes()));
   }
 
-  /** Tells whether most of the other gateways have lately said hello to this one, the holder. */
-  boolean isFollowedByMost() {
-    return subscribers.mostHeardSince(clock.nowMs() - 2 * pace.helloMs());
+  /**
+   * Returns whether most of the other gateways have recently sent a hello to this one, the holder.
+   */
+  boolean hasMajorityOfFollowers() {
+    return subscribers.majorityHeardSince(clock.nowMs() - 2 * timings.helloIntervalMs());
   }
 
-  /** The configuration changed: whoever does not hear of it from the store looks again at once. */
-  void tellConfiguration(long revision) {
-    if (duties.isPresent()) {
-      subscribers.tell(new ConfigurationNews(revision, new byte[0]));
+  /**
+   * Announces a new configuration revision; gateways that do not follow the store query it at once.
+   */
+  void announceConfiguration(long revision) {
+    if (coordinator.isPresent()) {
+      subscribers.sendToAll(new ConfigurationNews(revision, new byte[0]));
     }
   }
 
@@ -548,7 +584,7 @@
     if (news.configuration().length > 0) {
       configuration.onNews(new StoreValue(news.configuration(), news.configurationRevision()));
     }
-    if (duties.isEmpty() && holderAddress.isEmpty() && !news.holderAddress().isEmpty()) {
+    if (coordinator.isEmpty() && holderAddress.isEmpty() && !news.holderAddress().isEmpty()) {
       setHolder(news.holderAddress());
     }
     if (state.current().targets().isEmpty()) {
@@ -558,12 +594,12 @@
   }
 
   private void onHello(PeerChannel sender, FleetHello hello) {
-    boolean knowsNothing = hello.targetsTerm() == 0 && hello.routesTerm() == 0;
-    if (knowsNothing || hello.configurationRevision() == 0) {
-      tellNews(sender);
+    boolean hasNoState = hello.targetsTerm() == 0 && hello.routesTerm() == 0;
+    if (hasNoState || hello.configurationRevision() == 0) {
+      sendSnapshot(sender);
     }
-    if (duties.isPresent()) {
-      answerAsHolder(sender, hello, duties.get());
+    if (coordinator.isPresent()) {
+      answerAsHolder(sender, hello, coordinator.get());
     } else {
       sender.send(
           new FollowerBeat(
@@ -582,7 +618,7 @@
         .ifPresent(value -> sender.send(new ConfigurationNews(value.revision(), value.value())));
   }
 
-  private void answerAsHolder(PeerChannel sender, FleetHello hello, HolderDuties holder) {
+  private void answerAsHolder(PeerChannel sender, FleetHello hello, TermCoordinator holder) {
     subscribers.onHello(sender, hello, holder.term(), view, clock.nowMs());
     sender.send(
         new FleetBeat(
@@ -608,18 +644,18 @@
 
   @Override
   public void onTargets(long term, long version, List<FleetTarget> targets) {
-    subscribers.tell(view.publishTargets(term, version, targets));
+    subscribers.sendToAll(view.publishTargets(term, version, targets));
   }
 
   @Override
   public void onRoutes(long term, long version, List<ServiceRanges> services) {
     FleetMessage news = view.publishRoutes(term, version, services);
     installRoutes();
-    subscribers.tell(news);
+    subscribers.sendToAll(news);
   }
 
-  /** What the store says counts only until a holder says more. */
-  private final class FirstKnowledge implements StartupReader.Listener {
+  /** Applies what the store returned at start, until a holder supplies newer state. */
+  private final class FirstLookListener implements StartupReader.Listener {
 
     @Override
     public void onTargets(List<FleetTarget> targets, UpperTime asOf) {
@@ -636,7 +672,7 @@
 
     @Override
     public void onOwners(List<ServiceRanges> owners) {
-      if (view.takeStored(owners)) {
+      if (view.applyStored(owners)) {
         installRoutes();
       }
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/KeyFollower.java
@@ -54,7 +54,7 @@
   private final MillisClock clock;
   private final DecisionLog log;
   private final long retryMs;
-  private final Reliance reliance;
+  private final PeerReliance reliance;
   private final Consumer<WatchResult> listener;
   private boolean open;
   private boolean mustRead;
@@ -93,7 +93,7 @@
       MillisClock clock,
       DecisionLog log,
       long retryMs,
-      Reliance reliance,
+      PeerReliance reliance,
       Consumer<WatchResult> listener) {
     this.store = store;
     this.key = key;
@@ -156,7 +156,7 @@
 
   /** Returns whether peers confirm the data, so that no call is needed now. */
   private boolean canSkipCall() {
-    if (!reliance.isEntire().getAsBoolean() || newestPeerRevision > revision) {
+    if (!reliance.usesPeersOnly().getAsBoolean() || newestPeerRevision > revision) {
       return false;
     }
     // A new value must be detected sooner while the key is absent.
@@ -213,7 +213,7 @@
   }
 
   private long nextWaitMs() {
-    if (reliance.isEntire().getAsBoolean() && !absent) {
+    if (reliance.usesPeersOnly().getAsBoolean() && !absent) {
       return 0;
     }
     return isConfirmedByPeers() ? LONG_WAIT_MS : SHORT_WAIT_MS;
@@ -277,7 +277,7 @@
     responseTimeoutMs = Math.max(RESPONSE_TIMEOUT_MS, responseTimeoutMs / 2);
     if (result.event() != WatchResult.Event.UNCHANGED) {
       absent = result.event() == WatchResult.Event.ABSENT;
-    } else if (reliance.isEntire().getAsBoolean() && callNumber > peerRevisionCall) {
+    } else if (reliance.usesPeersOnly().getAsBoolean() && callNumber > peerRevisionCall) {
       // The reported revision no longer exists. Keeping it would repeat calls without a pause.
       newestPeerRevision = Math.min(newestPeerRevision, revision);
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
@@ -7,13 +7,15 @@
 import io.cuminvalve.kernel.UpperTime;
 import java.util.function.BooleanSupplier;
 
-/** What the holder of the term knows, at the first byte of an order, that may forbid it. */
+/** Conditions of the term holder that are checked at the first byte of a lease order. */
 final class OrderFacts implements ConditionLookup {
 
-  /** An order that took longer to begin is decided on anew. */
+  /**
+   * Maximum time from the decision to the first byte; a later order is withheld and decided again.
+   */
   static final long DECISION_MAX_AGE_MS = 400;
 
-  private final OrderKnowledge knowledge;
+  private final HolderState state;
   private final BooleanSupplier holdsTerm;
   private final TargetId target;
   private final UpperTime decided;
@@ -21,14 +23,13 @@
   /**
    * Creates the facts of one order.
    *
-   * @param knowledge what the holder knows; not null
+   * @param state state of the term holder; not null
    * @param holdsTerm whether this process still holds the term; not null
-   * @param target whom the order is for; not null
-   * @param decided when it was decided on; not null
+   * @param target target of the order; not null
+   * @param decided when the order was decided; not null
    */
-  OrderFacts(
-      OrderKnowledge knowledge, BooleanSupplier holdsTerm, TargetId target, UpperTime decided) {
-    this.knowledge = knowledge;
+  OrderFacts(HolderState state, BooleanSupplier holdsTerm, TargetId target, UpperTime decided) {
+    this.state = state;
     this.holdsTerm = holdsTerm;
     this.target = target;
     this.decided = decided;
@@ -39,10 +40,11 @@
     return switch (condition) {
       case TERM_HELD ->
           ConditionStatus.heard(
-              holdsTerm.getAsBoolean(), knowledge.termConfirmed(), knowledge.termMaxAgeMs());
+              holdsTerm.getAsBoolean(), state.termConfirmed(), state.termMaxAgeMs());
       case DECISION_RECENT -> ConditionStatus.heard(true, decided, DECISION_MAX_AGE_MS);
-      case TARGET_RUNS -> ConditionStatus.local(!knowledge.hasEnded(target), now);
-      default -> throw new IllegalArgumentException("no condition of an order: " + condition);
+      case TARGET_RUNS -> ConditionStatus.local(!state.hasEnded(target), now);
+      default ->
+          throw new IllegalArgumentException("not a condition of a lease order: " + condition);
     };
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
@@ -22,23 +22,28 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Sends the orders of a desk to the targets and brings the answers back. */
+/**
+ * Sends lease orders (grants and releases) to the targets and passes the replies to the lease desk.
+ */
 final class OrderSender {
 
-  /** One that does not answer must not hold up the others. */
+  /** Limit per target, so that a target that does not answer cannot block orders to the others. */
   private static final int MAX_PER_TARGET = 6;
 
-  /** A new holder has to grant everything at once, on a processor that is not warm yet. */
+  /**
+   * Limit for all targets together: a new holder has to grant all ranges at once, on a JVM that is
+   * not warmed up yet.
+   */
   private static final int MAX_IN_FLIGHT = 60;
 
   private final LeaseControl leases;
   private final SendGate gate;
-  private final OrderKnowledge knowledge;
+  private final HolderState state;
   private final ControlThread control;
   private final MillisClock clock;
   private final DecisionLog log;
   private final Function<TargetId, Optional<String>> addresses;
-  private final Consumer<TargetId> onOtherTarget;
+  private final Consumer<TargetId> onTargetReplaced;
   private final Consumer<TargetId> onLeaving;
   private final Runnable onAnswered;
   private final Map<TargetId, Integer> inFlight = new HashMap<>();
@@ -47,22 +52,22 @@
 
   OrderSender(
       LeaseControl leases,
-      OrderKnowledge knowledge,
+      HolderState state,
       ControlThread control,
       MillisClock clock,
       DecisionLog log,
       Function<TargetId, Optional<String>> addresses,
-      Consumer<TargetId> onOtherTarget,
+      Consumer<TargetId> onTargetReplaced,
       Consumer<TargetId> onLeaving,
       Runnable onAnswered) {
     this.leases = leases;
     this.gate = new SendGate(clock);
-    this.knowledge = knowledge;
+    this.state = state;
     this.control = control;
     this.clock = clock;
     this.log = log;
     this.addresses = addresses;
-    this.onOtherTarget = onOtherTarget;
+    this.onTargetReplaced = onTargetReplaced;
     this.onLeaving = onLeaving;
     this.onAnswered = onAnswered;
   }
@@ -71,8 +76,13 @@
     closed = true;
   }
 
-  /** Takes a place for one more order, unless a target has enough to do, or all have. */
-  boolean mayAsk(TargetId target) {
+  /**
+   * Reserves a slot for one order to a target.
+   *
+   * @return false if the target, or all targets together, already have the maximum number of orders
+   *     in flight
+   */
+  boolean tryReserve(TargetId target) {
     int toTarget = inFlight.getOrDefault(target, 0);
     if (toTarget >= MAX_PER_TARGET || totalInFlight >= MAX_IN_FLIGHT) {
       return false;
@@ -88,7 +98,7 @@
     Optional<String> address = addresses.apply(order.target());
     CompletableFuture<OrderReply> reply =
         address
-            .map(known -> call(known, order, () -> mayBegin(order, decided)))
+            .map(known -> dispatch(known, order, () -> maySend(order, decided)))
             .orElseGet(
                 () ->
                     CompletableFuture.completedFuture(
@@ -96,17 +106,20 @@
     reply.thenAcceptAsync(answer -> onReply(desk, order, answer, sentMs), control);
   }
 
-  private CompletableFuture<OrderReply> call(
-      String address, LeaseOrder order, BooleanSupplier mayBegin) {
+  private CompletableFuture<OrderReply> dispatch(
+      String address, LeaseOrder order, BooleanSupplier maySend) {
     if (order instanceof LeaseOrder.Grant grant) {
-      return leases.grant(address, grant, mayBegin);
+      return leases.grant(address, grant, maySend);
     }
-    return leases.release(address, (LeaseOrder.Release) order, mayBegin);
+    return leases.release(address, (LeaseOrder.Release) order, maySend);
   }
 
-  /** Called on a thread of the client, once there is a connection. */
-  private boolean mayBegin(LeaseOrder order, UpperTime decided) {
-    ConditionLookup facts = new OrderFacts(knowledge, () -> !closed, order.target(), decided);
+  /**
+   * Checks, on a thread of the lease client right before the first byte, whether the order may be
+   * sent.
+   */
+  private boolean maySend(LeaseOrder order, UpperTime decided) {
+    ConditionLookup facts = new OrderFacts(state, () -> !closed, order.target(), decided);
     SendKind kind = order instanceof LeaseOrder.Grant ? SendKind.GRANT : SendKind.RELEASE;
     Optional<SendObstacle> obstacle = gate.check(kind, facts);
     obstacle.ifPresent(
@@ -134,7 +147,7 @@
       desk.onReleaseEnded(release, reply.outcome(), reply.handover(), nowMs);
     }
     if (reply.outcome() == OrderOutcome.OTHER_TARGET) {
-      onOtherTarget.accept(order.target());
+      onTargetReplaced.accept(order.target());
     } else if (reply.leaving()) {
       onLeaving.accept(order.target());
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerAudience.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/PeerMessenger.java
@@ -3,20 +3,20 @@
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.wire.PeerNetwork;
 
-/** The other gateways, over the network. For the control thread. */
-class PeerAudience implements FleetAudience {
+/** Sends messages to other gateways over the peer network. For use on the control thread. */
+class PeerMessenger implements FleetMessenger {
 
   private final PeerNetwork network;
   private final Subscribers subscribers;
 
-  PeerAudience(PeerNetwork network, Subscribers subscribers) {
+  PeerMessenger(PeerNetwork network, Subscribers subscribers) {
     this.network = network;
     this.subscribers = subscribers;
   }
 
   @Override
-  public void tellAll(FleetMessage message) {
-    subscribers.tell(message);
+  public void sendToFollowers(FleetMessage message) {
+    subscribers.sendToAll(message);
   }
 
   @Override
@@ -24,7 +24,7 @@
     network.send(address, message);
   }
 
-  /** Returns how many gateways follow this one, the holder of the term. */
+  /** Returns the number of gateways that follow this one, the term holder. */
   public int followers() {
     return subscribers.count();
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
@@ -25,7 +25,7 @@
 final class QuotaCoordinator implements StateExchange.LocalState<LimitNews> {
 
   /** The gateways that can be sent messages. */
-  interface Peers extends FleetAudience {
+  interface Peers extends FleetMessenger {
 
     /** Returns how many gateways follow this one, the holder. */
     int followers();
@@ -111,7 +111,7 @@
       return;
     }
     issuer.get().setLimits(quotas.limits(), clock.nowMs());
-    peers.tellAll(new LimitNews(false, quotas.reports(changed)));
+    peers.sendToFollowers(new LimitNews(false, quotas.reports(changed)));
   }
 
   /** Processes the digest of limits in the hello of another process. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
@@ -18,7 +18,7 @@
  * Connects the {@link QuotaCoordinator} of this gateway with its traffic and the other gateways.
  * Confined to the control thread.
  */
-final class QuotaLink extends PeerAudience implements QuotaCoordinator.Peers {
+final class QuotaLink extends PeerMessenger implements QuotaCoordinator.Peers {
 
   private final RoutingState state;
   private final ControlThread control;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingOwners.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
@@ -9,31 +9,33 @@
 import java.util.function.IntSupplier;
 
 /**
- * Knows, as the holder of the term, which targets have asked gateways for rest. For the control
- * thread.
+ * Keeps track, in the term holder, of targets that have asked gateways for a rest: a back-off
+ * period without requests. For use on the control thread.
  */
-final class RestingOwners {
+final class RestingTargets {
 
-  /** A rest that is over sooner costs callers less than moving the keys. */
-  private static final long SHORT_BACKOFF_MS = 500;
+  /** Shorter rests are ignored: they cost clients less than moving the keys. */
+  private static final long MIN_REST_MS = 500;
 
-  /** A target that has turned so many gateways away turns the others away, too. */
-  private static final int ENOUGH_GATEWAYS = 3;
+  /**
+   * Number of gateways from which on a target counts as resting; it will turn the others away too.
+   */
+  private static final int RESTING_QUORUM = 3;
 
   private final MillisClock clock;
-  private final IntSupplier gateways;
+  private final IntSupplier gatewayCount;
   private final Map<TargetId, Map<String, Long>> endsMs = new HashMap<>();
 
-  RestingOwners(MillisClock clock, IntSupplier gateways) {
+  RestingTargets(MillisClock clock, IntSupplier gatewayCount) {
     this.clock = clock;
-    this.gateways = gateways;
+    this.gatewayCount = gatewayCount;
   }
 
-  /** A gateway leaves targets alone. */
+  /** Handles a report of a gateway about the targets that it sends nothing to for now. */
   void onReport(TargetBackoffsReport report) {
-    dropOver();
+    removeExpired();
     for (TargetBackoff rest : report.rests()) {
-      if (rest.leftMs() > SHORT_BACKOFF_MS) {
+      if (rest.leftMs() > MIN_REST_MS) {
         endsMs
             .computeIfAbsent(rest.target(), id -> new HashMap<>())
             .put(report.process(), clock.nowMs() + rest.leftMs());
@@ -41,7 +43,10 @@
     }
   }
 
-  /** Tells whether a target rests: for half of the gateways, or enough of them. */
+  /**
+   * Returns whether a target has asked at least half of the gateways, or {@link #RESTING_QUORUM} of
+   * them, for a rest.
+   */
   boolean isResting(TargetId target) {
     Map<String, Long> ends = endsMs.get(target);
     if (ends == null) {
@@ -49,10 +54,10 @@
     }
     long nowMs = clock.nowMs();
     long resting = ends.values().stream().filter(endMs -> endMs > nowMs).count();
-    return resting >= ENOUGH_GATEWAYS || 2 * resting >= gateways.getAsInt();
+    return resting >= RESTING_QUORUM || 2 * resting >= gatewayCount.getAsInt();
   }
 
-  private void dropOver() {
+  private void removeExpired() {
     long nowMs = clock.nowMs();
     endsMs.values().forEach(ends -> ends.values().removeIf(endMs -> endMs <= nowMs));
     endsMs.values().removeIf(Map::isEmpty);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServiceDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
@@ -32,40 +32,52 @@
 import java.util.function.Predicate;
 
 /**
- * Decides for one service which target is to own which keys.
+ * Plans which target owns which keys of one service.
  *
- * <p>Keys of targets that leave, or rest, are spread at once; otherwise load is evened out at a
- * pace. All methods are for the control thread.
+ * <p>Keys of targets that leave, or that have asked for a rest (back-off), are redistributed at
+ * once. Other load is rebalanced at intervals. All methods run on the control thread.
  */
-final class ServiceDuties {
+final class ServicePlanner {
 
-  /** Targets register one after the other: the first assignment waits for a pause this long. */
+  /**
+   * The first assignment waits until the number of targets has not changed for this long, since
+   * targets register one after the other.
+   */
   private static final long SETTLE_MS = 2_000;
 
-  /** It waits no longer than this; without it nothing is served. */
-  private static final long LONGEST_SETTLE_MS = 6_000;
+  /** Upper bound on that wait: no request of the service is served before the first assignment. */
+  private static final long MAX_SETTLE_MS = 6_000;
 
-  /** Pause between two looks at the load. */
-  private static final long BALANCE_MS = 250;
+  /** Interval between two rebalancing runs. */
+  private static final long BALANCE_INTERVAL_MS = 250;
 
-  /** Pause between two looks for fragments, and so the least time that one is left alone. */
-  private static final long TIDY_MS = 500;
+  /**
+   * Interval between two searches for fragmented ranges, and so the minimum time for which a new
+   * fragment is left in place.
+   */
+  private static final long TIDY_INTERVAL_MS = 500;
 
-  /** A measurement counts for about this long: hot keys come and go within seconds. */
-  private static final double LOAD_MEMORY_MS = 2_000;
+  /**
+   * Time constant of the decay of load measurements; short, since hot keys come and go within
+   * seconds.
+   */
+  private static final double LOAD_TIME_CONSTANT_MS = 2_000;
 
-  /** Share of busy slots from which on requests often wait in a target's queue. */
+  /** Share of busy slots above which requests often wait in the queue of a target. */
   private static final double BUSY_SHARE = 0.7;
 
-  /** Into how many parts the keys of a target that leaves are cut at most. */
-  private static final int SPREAD = 4;
+  /** Maximum number of parts into which a range of a leaving target is split. */
+  private static final int MAX_PARTS = 4;
 
-  /** Narrower ranges with less load are given away whole: each part is a lease. */
-  private static final int WIDE_KEYS = 1_024;
+  /**
+   * Ranges with fewer keys and at most {@link #HEAVY_LOAD} are not split, since each part is a
+   * lease.
+   */
+  private static final int WIDE_RANGE_KEYS = 1_024;
 
   private static final double HEAVY_LOAD = 0.4;
 
-  /** Requests that a target takes at once for each of its slots, those in its queue included. */
+  /** Requests that a target accepts at the same time per slot, including those in its queue. */
   private static final int QUEUED_PER_SLOT = 5;
 
   private final ServiceId service;
@@ -73,11 +85,11 @@
   private final DecisionLog log;
   private final KeyLoads loads;
   private final TargetSpeeds speeds = new TargetSpeeds();
-  private final Predicate<TargetId> resting;
-  private final LimitCapacity capacity;
-  private final Set<TargetId> busy = new HashSet<>();
+  private final Predicate<TargetId> isResting;
+  private final RateLimitCapacity capacity;
+  private final Set<TargetId> busyTargets = new HashSet<>();
   private final RangeTidier tidier = new RangeTidier();
-  private final OverloadPolicy overload = new OverloadPolicy();
+  private final OverloadPolicy overloadPolicy = new OverloadPolicy();
   private final MovePlanner planner =
       new MovePlanner(new HotKeyPlacement(), new RangeBalancer(BalancerSettings.DEFAULT));
   private final long startedMs;
@@ -88,19 +100,19 @@
   private long balancedMs;
   private long tidiedMs;
 
-  ServiceDuties(
+  ServicePlanner(
       ServiceId service,
       LeaseManager desk,
       DecisionLog log,
       Function<TargetId, OptionalDouble> limits,
-      Predicate<TargetId> resting,
+      Predicate<TargetId> isResting,
       long nowMs) {
     this.service = service;
     this.desk = desk;
     this.log = log;
-    this.loads = new KeyLoads(LOAD_MEMORY_MS, nowMs);
-    this.resting = resting;
-    this.capacity = new LimitCapacity(limits);
+    this.loads = new KeyLoads(LOAD_TIME_CONSTANT_MS, nowMs);
+    this.isResting = isResting;
+    this.capacity = new RateLimitCapacity(limits);
     this.startedMs = nowMs;
     this.targetsChangedMs = nowMs;
     this.balancedMs = nowMs;
@@ -111,18 +123,18 @@
     return desk;
   }
 
-  /** Tells whether gateways have to hear of {@link #routes()}. */
+  /** Returns whether {@link #routes()} has changed since it was last called. */
   boolean routesChanged() {
     return refusalsChanged || desk.routesChanged();
   }
 
-  /** Returns where requests go now, and marks it as told. */
+  /** Returns the current routes and marks them as published. */
   List<RangeRoute> routes() {
     refusalsChanged = false;
     return desk.routes(range -> refusedPercent.getOrDefault(range, 0));
   }
 
-  void onKeyWork(KeyLoadReport report) {
+  void onKeyLoad(KeyLoadReport report) {
     capacity.onWork(report.workMs(), report.requests());
     int count = Math.min(report.keys().length, report.workMs().length);
     for (int i = 0; i < count; i++) {
@@ -133,19 +145,22 @@
     }
   }
 
-  /** A busy target's times tell more of its queue than of its speed. */
+  /**
+   * Takes response times of a target. Times of a busy target are ignored, since they reflect its
+   * queue rather than its speed.
+   */
   void onTargetTime(TargetTime time) {
-    if (!busy.contains(time.target())) {
+    if (!busyTargets.contains(time.target())) {
       speeds.onAnswers(time.target(), time.meanRelativeTime(), time.answers());
     }
   }
 
   /**
-   * Decides what has to be moved.
+   * Decides which keys have to be moved.
    *
-   * @param storeAnswers whether a move can be written now: until it is, its keys are closed. Moves
-   *     that only even out load wait for that. On a day with the store away for 8 s, that spares
-   *     callers a tenth of all refusals
+   * @param storeAnswers whether a move can be written now. Its keys stay closed until it is
+   *     written, so moves that only balance load wait until the store answers; during a store
+   *     outage of 8 s this avoids a tenth of all refusals
    */
   void plan(TargetRegister register, int gateways, boolean storeAnswers, long nowMs) {
     List<FleetTarget> ready = new ArrayList<>(register.of(service));
@@ -163,7 +178,7 @@
     }
     List<FleetTarget> usable = storeAnswers ? withoutResting(ready) : ready;
     evacuate(usable, nowMs);
-    if (nowMs - balancedMs >= BALANCE_MS) {
+    if (nowMs - balancedMs >= BALANCE_INTERVAL_MS) {
       balancedMs = nowMs;
       loads.decay(nowMs);
       desk.mergeAdjacentRanges(nowMs);
@@ -175,11 +190,15 @@
     }
   }
 
-  /** In a narrow fleet each gateway's own limit protects the targets, and needs no report. */
+  /**
+   * Sets the share of requests to refuse per range. This is needed only if there are more gateways
+   * than a target queues requests; in smaller fleets the local limit of each gateway protects the
+   * targets without any report.
+   */
   private void refuseExcess(List<TargetLoad> targets, int gateways) {
     int mostSlots = targets.stream().mapToInt(TargetLoad::slots).max().orElse(0);
-    boolean wide = gateways > mostSlots * QUEUED_PER_SLOT;
-    Map<KeyRange, Integer> next = wide ? overload.refusedPercent(targets, loads) : Map.of();
+    boolean large = gateways > mostSlots * QUEUED_PER_SLOT;
+    Map<KeyRange, Integer> next = large ? overloadPolicy.refusedPercent(targets, loads) : Map.of();
     if (!next.equals(refusedPercent)) {
       refusedPercent = next;
       refusalsChanged = true;
@@ -188,36 +207,37 @@
 
   private void partition(List<FleetTarget> ready, long nowMs) {
     boolean settled = nowMs - targetsChangedMs >= SETTLE_MS;
-    if (settled || nowMs - startedMs >= LONGEST_SETTLE_MS) {
+    if (settled || nowMs - startedMs >= MAX_SETTLE_MS) {
       desk.partition(ready);
       log.write("keys_partitioned", "service={} targets={}", service, ready.size());
     }
   }
 
   /**
-   * Leaves out targets that rest: their keys are refused until they move. If most targets rest,
-   * there is too much load for the service, and no better place for keys.
+   * Removes resting targets: requests for their keys are refused until the keys move. If more than
+   * half of the targets rest, the whole service is overloaded and moving keys would not help, so
+   * all targets are kept.
    */
   private List<FleetTarget> withoutResting(List<FleetTarget> ready) {
     List<FleetTarget> reachable =
-        ready.stream().filter(target -> !resting.test(target.id())).toList();
+        ready.stream().filter(target -> !isResting.test(target.id())).toList();
     return 2 * reachable.size() >= ready.size() ? reachable : ready;
   }
 
-  /** Gives the keys of targets that leave, or have left, to the least busy of the others. */
+  /** Moves the keys of targets that leave, or have left, to the least loaded remaining targets. */
   private void evacuate(List<FleetTarget> ready, long nowMs) {
     Set<TargetId> usable = new HashSet<>();
     ready.forEach(target -> usable.add(target.id()));
-    List<KeyRange> homeless = desk.rangesWithUnusableOwner(usable::contains);
-    if (homeless.isEmpty()) {
+    List<KeyRange> orphaned = desk.rangesWithUnusableOwner(usable::contains);
+    if (orphaned.isEmpty()) {
       return;
     }
     List<TargetLoad> targets = targetLoads(ready, nowMs);
     Map<TargetId, Double> loadByTarget = new HashMap<>();
     targets.forEach(target -> loadByTarget.put(target.id(), target.busySlots(loads)));
-    for (KeyRange range : homeless) {
+    for (KeyRange range : orphaned) {
       for (KeyRange part : parts(range, ready.size())) {
-        TargetId least = leastBusyWith(loads.of(part), targets, loadByTarget);
+        TargetId least = leastLoadedWith(loads.of(part), targets, loadByTarget);
         desk.move(part, least, nowMs);
         loadByTarget.merge(least, loads.of(part), Double::sum);
         log.write("keys_evacuated", "service={} keys={} to={}", service, part, least);
@@ -225,7 +245,7 @@
     }
   }
 
-  private static TargetId leastBusyWith(
+  private static TargetId leastLoadedWith(
       double added, List<TargetLoad> targets, Map<TargetId, Double> loads) {
     return targets.stream()
         .min(
@@ -236,8 +256,8 @@
   }
 
   private List<KeyRange> parts(KeyRange range, int targets) {
-    boolean wide = range.size() >= WIDE_KEYS || loads.of(range) > HEAVY_LOAD;
-    int count = wide ? Math.min(Math.min(SPREAD, targets), range.size()) : 1;
+    boolean large = range.size() >= WIDE_RANGE_KEYS || loads.of(range) > HEAVY_LOAD;
+    int count = large ? Math.min(Math.min(MAX_PARTS, targets), range.size()) : 1;
     double share = loads.of(range) / count;
     List<KeyRange> parts = new ArrayList<>();
     int first = range.first();
@@ -255,9 +275,9 @@
   }
 
   private void balance(List<TargetLoad> targets, long nowMs) {
-    noteBusyTargets(targets);
+    updateBusyTargets(targets);
     List<RangeMove> moves = planner.plan(targets, loads, speeds);
-    if (moves.isEmpty() && nowMs - tidiedMs >= TIDY_MS) {
+    if (moves.isEmpty() && nowMs - tidiedMs >= TIDY_INTERVAL_MS) {
       tidiedMs = nowMs;
       moves = tidier.plan(targets, loads, MovePlanner.mostMoves(targets.size()));
     }
@@ -274,11 +294,11 @@
     }
   }
 
-  private void noteBusyTargets(List<TargetLoad> targets) {
-    busy.clear();
+  private void updateBusyTargets(List<TargetLoad> targets) {
+    busyTargets.clear();
     for (TargetLoad target : targets) {
       if (target.busySlots(loads) > BUSY_SHARE * target.slots()) {
-        busy.add(target.id());
+        busyTargets.add(target.id());
       }
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StateExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StateExchange.java
@@ -37,11 +37,11 @@
   }
 
   private final LocalState<N> localState;
-  private final FleetAudience peers;
+  private final FleetMessenger peers;
   private Optional<String> holder = Optional.empty();
   private Set<String> holderAndDeputies = Set.of();
 
-  StateExchange(LocalState<N> localState, FleetAudience peers) {
+  StateExchange(LocalState<N> localState, FleetMessenger peers) {
     this.localState = localState;
     this.peers = peers;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/Subscribers.java
@@ -11,66 +11,73 @@
 import java.util.Map;
 
 /**
- * The gateways that follow this one, which holds the term.
+ * The gateways that follow this one while it holds the term.
  *
- * <p>Changes go to all of them as they happen. One that lacks what was sent to it before its last
- * hello has lost something on the way and gets everything again; what was sent since may still be
- * under way. All methods are for the control thread.
+ * <p>Changes are sent to all of them as they happen. A gateway whose hello shows that it lacks
+ * something sent before its previous hello has lost a message and is sent the full state again;
+ * what was sent since then may still be in transit. All methods run on the control thread.
  */
 final class Subscribers {
 
-  /** After this many pauses between two hellos without one a gateway no longer counts. */
-  private static final int GONE_HELLOS = 7;
+  /** Number of hello intervals without a hello after which a gateway is no longer counted. */
+  private static final int SILENCE_TIMEOUT_HELLOS = 7;
 
   private final Map<String, Subscriber> byProcess = new HashMap<>();
   private List<String> deputies = List.of();
-  private int mostAtOnce;
+  private int peakCount;
 
   /**
-   * Takes a hello. Sends what the sender lacks of what was decided in a term.
+   * Handles a hello and sends the state of the given term that the sender lacks.
    *
-   * @param sender where the hello came from; not null
-   * @param hello what the sender knows; not null
+   * @param sender channel on which the hello arrived; not null
+   * @param hello versions that the sender has; not null
    * @param term the term of this process
-   * @param view what this process knows; not null
-   * @param nowMs the time; milliseconds
+   * @param view state published by this process; not null
+   * @param nowMs the current time; milliseconds
    */
   void onHello(PeerChannel sender, FleetHello hello, long term, FleetView view, long nowMs) {
     Subscriber known = byProcess.get(hello.process());
-    boolean fresh = known == null || !known.channel.equals(sender);
-    Subscriber subscriber = fresh ? new Subscriber(sender, hello) : known;
+    boolean isNew = known == null || !known.channel.equals(sender);
+    Subscriber subscriber = isNew ? new Subscriber(sender, hello) : known;
     byProcess.put(hello.process(), subscriber);
-    if (fresh) {
+    if (isNew) {
       chooseDeputies();
     }
-    subscriber.heardMs = nowMs;
-    mostAtOnce = Math.max(mostAtOnce, byProcess.size());
+    subscriber.lastHelloMs = nowMs;
+    peakCount = Math.max(peakCount, byProcess.size());
     boolean lacksTargets =
-        fresh || hello.targetsTerm() != term || hello.targetsVersion() < subscriber.targetsDue;
+        isNew
+            || hello.targetsTerm() != term
+            || hello.targetsVersion() < subscriber.expectedTargetsVersion;
     if (lacksTargets && view.targets().term() == term) {
       sender.send(view.targets());
     }
     boolean lacksRoutes =
-        fresh || hello.routesTerm() != term || hello.routesVersion() < subscriber.routesDue;
+        isNew
+            || hello.routesTerm() != term
+            || hello.routesVersion() < subscriber.expectedRoutesVersion;
     if (lacksRoutes && view.routes().term() == term) {
       sender.send(view.routes());
     }
-    subscriber.targetsDue = view.targets().version();
-    subscriber.routesDue = view.routes().version();
+    subscriber.expectedTargetsVersion = view.targets().version();
+    subscriber.expectedRoutesVersion = view.routes().version();
   }
 
-  void tell(FleetMessage message) {
+  void sendToAll(FleetMessage message) {
     byProcess.values().forEach(subscriber -> subscriber.channel.send(message));
   }
 
-  void dropSilent(long nowMs, long helloMs) {
-    long goneMs = GONE_HELLOS * helloMs;
-    if (byProcess.values().removeIf(subscriber -> nowMs - subscriber.heardMs > goneMs)) {
+  void removeSilent(long nowMs, long helloIntervalMs) {
+    long timeoutMs = SILENCE_TIMEOUT_HELLOS * helloIntervalMs;
+    if (byProcess.values().removeIf(subscriber -> nowMs - subscriber.lastHelloMs > timeoutMs)) {
       chooseDeputies();
     }
   }
 
-  /** Returns the peer addresses of those that follow the store beside this process. */
+  /**
+   * Returns the peer addresses of the deputies, the gateways that follow the store in addition to
+   * this process.
+   */
   List<String> deputies() {
     return deputies;
   }
@@ -81,10 +88,14 @@
     deputies = DeputySelector.choose(candidates);
   }
 
-  /** Tells whether at least half of all that ever followed have said hello since a time. */
-  boolean mostHeardSince(long atMs) {
-    long heard = byProcess.values().stream().filter(known -> known.heardMs >= atMs).count();
-    return 2 * heard >= mostAtOnce;
+  /**
+   * Returns whether at least half of the highest number of followers so far have sent a hello since
+   * a time.
+   */
+  boolean majorityHeardSince(long sinceMs) {
+    long recentCount =
+        byProcess.values().stream().filter(known -> known.lastHelloMs >= sinceMs).count();
+    return 2 * recentCount >= peakCount;
   }
 
   int count() {
@@ -93,18 +104,18 @@
 
   void clear() {
     byProcess.clear();
-    mostAtOnce = 0;
+    peakCount = 0;
     deputies = List.of();
   }
 
-  /** A gateway that said hello. */
+  /** A gateway that has sent a hello, with the versions that its next hello should have reached. */
   private static final class Subscriber {
 
     private final PeerChannel channel;
     private final DeputySelector.Candidate candidate;
-    private long heardMs;
-    private long targetsDue;
-    private long routesDue;
+    private long lastHelloMs;
+    private long expectedTargetsVersion;
+    private long expectedRoutesVersion;
 
     Subscriber(PeerChannel channel, FleetHello hello) {
       this.channel = channel;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
@@ -42,42 +42,49 @@
 import java.util.function.Function;
 
 /**
- * What the holder of the term does: follows the targets, assigns keys, keeps the leases going.
+ * Coordinates the fleet while this process holds the term: follows the registry of targets, assigns
+ * keys to targets and renews their leases.
  *
- * <p>One object for one term. It acts on nothing before it has read what earlier holders wrote and
- * has written that itself, so that they can write no more. All methods are for the control thread.
+ * <p>One object serves one term. It takes no action before it has read what earlier holders wrote
+ * to the store and has written that itself, which fences off their later writes. All methods run on
+ * the control thread.
  *
  * @since 0.2
  */
-final class HolderDuties {
+final class TermCoordinator {
 
-  /** Tells the gateways of the fleet. */
-  interface Audience {
+  /** Receives what has to be sent to the other gateways. */
+  interface Listener {
 
-    /** The targets changed. */
+    /** Handles a new list of targets. */
     void onTargets(long term, long version, List<FleetTarget> targets);
 
-    /** The owners changed. */
+    /** Handles new owners of key ranges. */
     void onRoutes(long term, long version, List<ServiceRanges> services);
   }
 
-  private static final long TICK_MS = 50;
+  private static final long CYCLE_MS = 50;
 
   /**
-   * Room for tokens within one term: each grant takes one, at most 200 a second, which lasts for 23
-   * hours; then the term ends, and the next one has as much room.
+   * Number of low bits of a token that count the grants of one term. Each grant uses one token; at
+   * 200 grants per second, the highest rate, they last for 23 hours. Then the term ends, and the
+   * next term has as many.
    */
   private static final int TOKEN_BITS = 24;
 
-  private static final long MOST_TOKENS = (1L << TOKEN_BITS) - 1_000_000;
+  private static final long MAX_TOKENS = (1L << TOKEN_BITS) - 1_000_000;
 
   /**
-   * Pause between two changes of owners that are told, for each gateway: each gets its own copy.
+   * Minimum interval between two publications of owners, per gateway in the fleet: each gateway is
+   * sent its own copy.
    */
-  private static final double TELL_MS_PER_GATEWAY = 0.5;
+  private static final double PUBLISH_MS_PER_GATEWAY = 0.5;
 
-  /** A record of proofs may wait this long for a write that is needed anyway. */
-  private static final long CLEANUP_MS = 2_000;
+  /**
+   * Maximum time for which a write that only removes previous owners is delayed, so that it can
+   * join a write that is needed anyway.
+   */
+  private static final long CLEANUP_DELAY_MS = 2_000;
 
   private final GatewayPorts ports;
   private final RoutingState state;
@@ -87,37 +94,37 @@
   private final LeaseTimings timings;
   private final long term;
   private final TermLease termLease;
-  private final Audience audience;
-  private final boolean storeCameBack;
+  private final Listener listener;
+  private final boolean storeRestored;
   private final Function<TargetId, OptionalDouble> limits;
-  private final RestingOwners resting;
+  private final RestingTargets restingTargets;
   private final RegistryFollower follower;
   private final OwnershipStore ownership;
   private final OrderSender sender;
   private final long startedMs;
-  private final Map<ServiceId, ServiceDuties> duties = new LinkedHashMap<>();
+  private final Map<ServiceId, ServicePlanner> planners = new LinkedHashMap<>();
   private final Map<TargetId, String> lastAddresses = new HashMap<>();
   private final Map<TargetId, Long> firstSeen = new HashMap<>();
   private final Set<TargetId> ended = ConcurrentHashMap.newKeySet();
   private long listings;
   private Map<ServiceId, OwnershipTable> stored = Map.of();
   private long storedTerm;
-  private boolean storedMayBeOld;
+  private boolean storedMayBeStale;
   private long idleUntilMs = Long.MIN_VALUE;
   private Optional<Runnable> onRewritten = Optional.empty();
   private Optional<LeasesLeft> foreignLeases = Optional.empty();
-  private long foreignToldMs;
+  private long foreignLeasesAtMs;
   private boolean ready;
   private long tokenCount;
   private long routesVersion;
-  private long routesToldMs;
-  private boolean tellPending;
-  private boolean actPending;
+  private long routesPublishedMs;
+  private boolean publishPending;
+  private boolean cyclePending;
   private long cleanupSinceMs;
   private Optional<UpperTime> staleSince = Optional.empty();
-  private Future<?> ticking;
+  private Future<?> cycleTimer;
 
-  HolderDuties(
+  TermCoordinator(
       GatewayPorts ports,
       RoutingState state,
       ControlThread control,
@@ -127,8 +134,8 @@
       LeaseTimings timings,
       long term,
       TermLease termLease,
-      Audience audience,
-      boolean storeCameBack,
+      Listener listener,
+      boolean storeRestored,
       Function<TargetId, OptionalDouble> limits,
       Consumer<TargetId> onLeaving) {
     this.ports = ports;
@@ -139,10 +146,10 @@
     this.timings = timings;
     this.term = term;
     this.termLease = termLease;
-    this.audience = audience;
-    this.storeCameBack = storeCameBack;
+    this.listener = listener;
+    this.storeRestored = storeRestored;
     this.limits = limits;
-    this.resting = new RestingOwners(clock, () -> state.current().processes());
+    this.restingTargets = new RestingTargets(clock, () -> state.current().processes());
     this.startedMs = clock.nowMs();
     this.follower =
         new RegistryFollower(
@@ -157,35 +164,35 @@
     this.sender =
         new OrderSender(
             ports.leases(),
-            new Knowledge(),
+            new CurrentState(),
             control,
             clock,
             log,
             this::lastAddressOf,
             this::onReplacedTarget,
             onLeaving,
-            this::actSoon);
+            this::scheduleCycle);
   }
 
   void start() {
     state.current().targets().forEach(t -> lastAddresses.put(t.id(), t.address()));
     follower.start();
     ownership.read(this::onOwnership);
-    ticking = control.scheduleRepeatedly(this::act, TICK_MS);
+    cycleTimer = control.scheduleRepeatedly(this::runCycle, CYCLE_MS);
   }
 
   void close() {
     follower.close();
     ownership.close();
     sender.close();
-    ticking.cancel(false);
+    cycleTimer.cancel(false);
   }
 
   long term() {
     return term;
   }
 
-  /** Returns how long ago the store last confirmed the term; milliseconds. */
+  /** Returns the time since the store last confirmed the term; milliseconds. */
   long termAgeMs() {
     return clock.upper().sinceMs(termLease.confirmed());
   }
@@ -194,75 +201,77 @@
     return follower.confirmed();
   }
 
-  /** Tells whether the store leaves the holder without an answer. For any thread. */
+  /** Returns whether the store does not answer the registry calls of this process. Thread-safe. */
   boolean isStoreSilent() {
     return follower.isSilent();
   }
 
   void onReport(PeerMessage report) {
-    if (report instanceof KeyLoadReport work) {
-      ServiceDuties service = duties.get(work.service());
+    if (report instanceof KeyLoadReport load) {
+      ServicePlanner service = planners.get(load.service());
       if (service != null) {
-        service.onKeyWork(work);
+        service.onKeyLoad(load);
       }
     } else if (report instanceof TargetTimesReport times) {
       times.times().forEach(this::onTargetTime);
     } else if (report instanceof TargetReplaced replaced) {
       onReplacedTarget(replaced.target());
     } else if (report instanceof TargetBackoffsReport rests) {
-      resting.onReport(rests);
+      restingTargets.onReport(rests);
     }
   }
 
   /**
-   * Another target is said to answer at the address of this one: its keys move away, once a release
-   * that is sent there has shown who holds them.
+   * Handles a report that another target answers at the address of this one. Its keys move once a
+   * release sent to that address has shown who holds them.
    */
   private void onReplacedTarget(TargetId id) {
     if (!ended.contains(id)) {
-      onReplaced(id);
+      markReplaced(id);
       onTargets();
     }
   }
 
-  /** Returns every lease that may still be in force. */
+  /** Returns all leases that may still be in force. */
   List<LeaseLeft> leasesLeft() {
     List<LeaseLeft> result = new ArrayList<>();
     long nowMs = clock.nowMs();
-    duties.values().forEach(service -> result.addAll(service.desk().leasesLeft(nowMs)));
+    planners.values().forEach(service -> result.addAll(service.desk().leasesLeft(nowMs)));
     return result;
   }
 
   /**
-   * Learns what an earlier holder granted. Only the one that wrote last knows everything.
+   * Takes the leases that an earlier holder granted. Only the list of the holder that wrote to the
+   * store last is complete.
    *
-   * @return whether it is the one that wrote last, as far as is known yet
+   * @return whether the list comes from the last writer, as far as is known yet
    */
-  boolean onLeasesLeft(LeasesLeft left, long toldMs) {
-    boolean newer = foreignLeases.isEmpty() || left.term() > foreignLeases.get().term();
-    if (left.term() != 0 && left.term() < term && newer) {
-      foreignLeases = Optional.of(left);
-      foreignToldMs = toldMs;
-      duties.values().forEach(service -> limitForeignLeases(service.desk()));
-      act();
+  boolean onLeasesLeft(LeasesLeft remaining, long receivedMs) {
+    boolean newer = foreignLeases.isEmpty() || remaining.term() > foreignLeases.get().term();
+    if (remaining.term() != 0 && remaining.term() < term && newer) {
+      foreignLeases = Optional.of(remaining);
+      foreignLeasesAtMs = receivedMs;
+      planners.values().forEach(service -> limitForeignLeases(service.desk()));
+      runCycle();
     }
     return ready && foreignLeases.isPresent() && foreignLeases.get().term() == storedTerm;
   }
 
   private void limitForeignLeases(LeaseManager desk) {
     foreignLeases
-        .filter(left -> left.term() == storedTerm && !storedMayBeOld)
+        .filter(remaining -> remaining.term() == storedTerm && !storedMayBeStale)
         .ifPresent(
-            left -> {
-              desk.limitForeignLeases(left.leases(), foreignToldMs);
-              log.write("foreign_leases_known", "of={} left={}", storedTerm, left.leases().size());
+            remaining -> {
+              desk.limitForeignLeases(remaining.leases(), foreignLeasesAtMs);
+              log.write(
+                  "foreign_leases_known", "of={} left={}", storedTerm, remaining.leases().size());
             });
   }
 
-  private void onReplaced(TargetId id) {
+  private void markReplaced(TargetId id) {
     if (ended.add(id)) {
       log.write("target_replaced", "target={}", id);
-      duties.values().forEach(service -> service.desk().onGone(id));
+      planners.values().forEach(service -> service.desk().onGone(id));
       follower.forget(id);
     }
   }
@@ -271,22 +280,22 @@
     follower
         .register()
         .find(time.target())
-        .map(target -> duties.get(target.service()))
+        .map(target -> planners.get(target.service()))
         .ifPresent(service -> service.onTargetTime(time));
   }
 
   private void onOwnership(Optional<OwnershipRecord> found) {
     Map<ServiceId, OwnershipTable> tables = new HashMap<>();
     found.ifPresent(record -> record.tables().forEach(t -> tables.put(t.service(), t)));
-    found.ifPresent(record -> record.addresses().forEach(this::noteStoredAddress));
+    found.ifPresent(record -> record.addresses().forEach(this::recordStoredAddress));
     stored = tables;
     storedTerm = found.map(OwnershipRecord::term).orElse(0L);
-    storedMayBeOld = found.filter(ownership::isFromEpochBefore).isPresent();
-    if (found.isEmpty() && storeCameBack) {
-      // There may have been a record, with owners that still hold their keys.
+    storedMayBeStale = found.filter(ownership::isFromEpochBefore).isPresent();
+    if (found.isEmpty() && storeRestored) {
+      // A record may have been lost in the restore; its owners may still hold their leases.
       idleUntilMs = startedMs + timings.foreignLeaseMs();
     }
-    duties.clear();
+    planners.clear();
     ready = true;
     log.write(
         "owners_read",
@@ -294,12 +303,12 @@
         term,
         storedTerm,
         tables.size(),
-        storedMayBeOld);
-    act();
+        storedMayBeStale);
+    runCycle();
   }
 
-  /** What the registry says is newer than what an earlier holder wrote. */
-  private void noteStoredAddress(TargetAddress stored) {
+  /** Records a stored address unless the registry has supplied a newer one. */
+  private void recordStoredAddress(TargetAddress stored) {
     lastAddresses.putIfAbsent(stored.target(), stored.address());
   }
 
@@ -307,7 +316,7 @@
     return Optional.ofNullable(lastAddresses.get(id));
   }
 
-  /** Some targets have said that they leave, whatever is registered. */
+  /** Handles targets that have announced their departure, whatever the registry says. */
   void onDepartures() {
     onTargets();
   }
@@ -320,29 +329,29 @@
 
   private void onTargets() {
     markLeaving();
-    noteFirstSeen();
+    recordFirstSeen();
     for (TargetId id : replacedTargets()) {
-      onReplaced(id);
+      markReplaced(id);
     }
     List<FleetTarget> targets = follower.register().all();
     targets.forEach(target -> lastAddresses.put(target.id(), target.address()));
-    targets.forEach(this::noteRestart);
+    targets.forEach(this::recordRestart);
     state.update(snapshot -> snapshot.withTargets(targets));
     if (follower.isListed()) {
       state.confirmTargets(follower.confirmed());
-      audience.onTargets(term, follower.register().version(), targets);
+      listener.onTargets(term, follower.register().version(), targets);
     }
-    act();
+    runCycle();
   }
 
-  private void noteRestart(FleetTarget target) {
-    ServiceDuties service = duties.get(target.service());
+  private void recordRestart(FleetTarget target) {
+    ServicePlanner service = planners.get(target.service());
     if (service != null && service.desk().onRestarted(target.id())) {
       log.write("target_restarted", "target={} service={}", target.id(), target.service());
     }
   }
 
-  private void noteFirstSeen() {
+  private void recordFirstSeen() {
     listings++;
     for (FleetTarget target : follower.register().all()) {
       firstSeen.putIfAbsent(target.id(), listings);
@@ -350,9 +359,10 @@
   }
 
   /**
-   * Finds targets that have ended: another one was registered at their address later.
+   * Returns targets that have ended, since another one was registered at their address later.
    *
-   * <p>Two that were seen for the first time together tell nothing: either may be the older one.
+   * <p>If both were first seen in the same listing, neither is returned: the order in which they
+   * were registered is unknown.
    */
   private Set<TargetId> replacedTargets() {
     Set<TargetId> replaced = new HashSet<>();
@@ -374,22 +384,22 @@
   }
 
   /**
-   * Acts once for all answers that have arrived by then: each look at all ranges takes the longer
-   * the more there are, and so do the answers that wait meanwhile.
+   * Schedules one cycle for all answers that arrive until it runs. A cycle visits every range, so
+   * one cycle per answer would delay the answers behind it when there are many ranges.
    */
-  private void actSoon() {
-    if (!actPending) {
-      actPending = true;
-      control.execute(this::act);
+  private void scheduleCycle() {
+    if (!cyclePending) {
+      cyclePending = true;
+      control.execute(this::runCycle);
     }
   }
 
-  private void act() {
-    actPending = false;
+  private void runCycle() {
+    cyclePending = false;
     if (!ready || !follower.isListed() || !termLease.isConfirmedSinceResume()) {
       return;
     }
-    if (tokenCount > MOST_TOKENS) {
+    if (tokenCount > MAX_TOKENS) {
       termLease.relinquish("tokens_used_up");
       return;
     }
@@ -400,54 +410,54 @@
     state.current().configuration().ifPresent(this::addServices);
     boolean outage = termLease.isOutage();
     boolean storeAnswers = !outage && !ownership.isWriting();
-    for (ServiceDuties service : duties.values()) {
+    for (ServicePlanner service : planners.values()) {
       service.plan(follower.register(), state.current().processes(), storeAnswers, nowMs);
     }
-    duties.values().forEach(service -> service.desk().setOutage(outage));
+    planners.values().forEach(service -> service.desk().setOutage(outage));
     renewStaleTokens();
     writeIfNeeded(nowMs);
-    for (ServiceDuties service : duties.values()) {
-      for (LeaseOrder order : service.desk().due(nowMs, sender::mayAsk)) {
+    for (ServicePlanner service : planners.values()) {
+      for (LeaseOrder order : service.desk().due(nowMs, sender::tryReserve)) {
         sender.send(service.desk(), order);
       }
     }
-    if (duties.values().stream().anyMatch(ServiceDuties::routesChanged)) {
-      tellRoutesAtPace(nowMs);
+    if (planners.values().stream().anyMatch(ServicePlanner::routesChanged)) {
+      publishRoutesThrottled(nowMs);
     }
   }
 
-  private void tellRoutesAtPace(long nowMs) {
-    long paceMs = (long) (state.current().processes() * TELL_MS_PER_GATEWAY);
-    long waitMs = routesToldMs + paceMs - nowMs;
+  private void publishRoutesThrottled(long nowMs) {
+    long intervalMs = (long) (state.current().processes() * PUBLISH_MS_PER_GATEWAY);
+    long waitMs = routesPublishedMs + intervalMs - nowMs;
     if (waitMs <= 0) {
-      routesToldMs = nowMs;
-      tellRoutes();
-    } else if (!tellPending) {
-      tellPending = true;
-      control.schedule(this::onTellDue, waitMs);
+      routesPublishedMs = nowMs;
+      publishRoutes();
+    } else if (!publishPending) {
+      publishPending = true;
+      control.schedule(this::onPublishDue, waitMs);
     }
   }
 
-  private void onTellDue() {
-    tellPending = false;
-    act();
+  private void onPublishDue() {
+    publishPending = false;
+    runCycle();
   }
 
   private void addServices(RoutingConfiguration configuration) {
     for (ServiceProfile profile : configuration.services().values()) {
-      if (profile.keyed() && !duties.containsKey(profile.id())) {
-        duties.put(profile.id(), newDuties(profile.id()));
+      if (profile.keyed() && !planners.containsKey(profile.id())) {
+        planners.put(profile.id(), newPlanner(profile.id()));
       }
     }
   }
 
-  private ServiceDuties newDuties(ServiceId id) {
+  private ServicePlanner newPlanner(ServiceId id) {
     LeaseManager desk = new LeaseManager(id, timings, this::nextToken);
     OwnershipTable table = stored.get(id);
     if (table != null && !table.assignments().isEmpty()) {
       desk.takeOver(table, clock.nowMs(), startedMs + timings.foreignLeaseMs());
-      if (storedMayBeOld) {
-        // Moves that were written later are lost: the owners named here prove nothing.
+      if (storedMayBeStale) {
+        // Later moves may have been lost in the restore, so the recorded owners may be outdated.
         desk.assumeUnknownOwners(startedMs + timings.foreignLeaseMs());
       } else {
         limitForeignLeases(desk);
@@ -455,7 +465,7 @@
       follower.register().of(id).forEach(target -> desk.onRestarted(target.id()));
       log.write("keys_taken_over", "service={} ranges={}", id, desk.rangeCount());
     }
-    return new ServiceDuties(id, desk, log, limits, resting::isResting, clock.nowMs());
+    return new ServicePlanner(id, desk, log, limits, restingTargets::isResting, clock.nowMs());
   }
 
   private long nextToken() {
@@ -463,9 +473,12 @@
     return (term << TOKEN_BITS) + tokenCount;
   }
 
-  /** A target that knows a higher token may know a higher term: ask before going on. */
+  /**
+   * Renews tokens that a target rejected as stale. The target may have seen a later term, so the
+   * store has to confirm this term first.
+   */
   private void renewStaleTokens() {
-    boolean stale = duties.values().stream().anyMatch(s -> s.desk().hasStaleTokens());
+    boolean stale = planners.values().stream().anyMatch(s -> s.desk().hasStaleTokens());
     if (!stale) {
       staleSince = Optional.empty();
       return;
@@ -476,23 +489,23 @@
       termLease.confirm();
     } else if (termLease.confirmed().compareTo(staleSince.get()) >= 0) {
       staleSince = Optional.empty();
-      duties.values().forEach(service -> service.desk().renewTokens());
+      planners.values().forEach(service -> service.desk().renewTokens());
     }
   }
 
   private void writeIfNeeded(long nowMs) {
-    boolean urgent = duties.values().stream().anyMatch(service -> service.desk().needsWrite());
+    boolean urgent = planners.values().stream().anyMatch(service -> service.desk().needsWrite());
     boolean cleanup =
-        duties.values().stream().anyMatch(service -> service.desk().isCleanupPending());
+        planners.values().stream().anyMatch(service -> service.desk().isCleanupPending());
     cleanupSinceMs = cleanup ? Math.min(cleanupSinceMs, nowMs) : Long.MAX_VALUE;
-    boolean due = urgent || nowMs - cleanupSinceMs > CLEANUP_MS || onRewritten.isPresent();
+    boolean due = urgent || nowMs - cleanupSinceMs > CLEANUP_DELAY_MS || onRewritten.isPresent();
     if (!due || ownership.isWriting()) {
       return;
     }
     final Optional<Runnable> afterwards = onRewritten;
     Map<ServiceId, OwnershipTable> tables = new LinkedHashMap<>(stored);
     Map<ServiceId, Long> versions = new HashMap<>();
-    duties.forEach(
+    planners.forEach(
         (id, service) -> {
           if (service.desk().isPartitioned()) {
             tables.put(id, service.desk().table(nowMs));
@@ -503,36 +516,40 @@
         List.copyOf(tables.values()),
         this::lastAddressOf,
         () -> onWritten(versions, afterwards),
-        this::onOvertaken);
+        this::onConflict);
   }
 
   private void onWritten(Map<ServiceId, Long> versions, Optional<Runnable> afterwards) {
-    versions.forEach((id, version) -> duties.get(id).desk().onWritten(version));
+    versions.forEach((id, version) -> planners.get(id).desk().onWritten(version));
     if (afterwards.isPresent()) {
       onRewritten = Optional.empty();
       afterwards.get().run();
     } else {
-      act();
+      runCycle();
     }
   }
 
   /**
-   * The store came back from an older copy: writes who owns what once more, before anybody else
-   * reads it. What was being written may be lost with the rest.
+   * Writes the ownership tables again after the store was restored from an older copy, before
+   * another process reads them. A write that was in progress may have been lost in the restore too.
    *
-   * @param onDone called once it is durable, or at once if this process does not know either
+   * @param onDone called once the tables are durable, or at once if this process does not know the
+   *     owners either
    */
   void rewrite(Runnable onDone) {
-    if (!ready || storedMayBeOld || duties.isEmpty()) {
+    if (!ready || storedMayBeStale || planners.isEmpty()) {
       onDone.run();
     } else {
       onRewritten = Optional.of(onDone);
-      act();
+      runCycle();
     }
   }
 
-  /** Somebody else wrote: a later holder, or an earlier one after this one had read. */
-  private void onOvertaken(Optional<OwnershipRecord> found) {
+  /**
+   * Handles a record that another process wrote: a later holder, or an earlier one after this
+   * process had read the store.
+   */
+  private void onConflict(Optional<OwnershipRecord> found) {
     long other = found.map(OwnershipRecord::term).orElse(0L);
     log.write("owners_overtaken", "term={} by_term={}", term, other);
     if (other > term) {
@@ -543,20 +560,20 @@
     }
   }
 
-  private void tellRoutes() {
+  private void publishRoutes() {
     List<ServiceRanges> services = new ArrayList<>();
-    duties.forEach(
+    planners.forEach(
         (id, service) -> {
           if (service.desk().isPartitioned()) {
             services.add(new ServiceRanges(id, service.routes()));
           }
         });
     routesVersion++;
-    audience.onRoutes(term, routesVersion, services);
+    listener.onRoutes(term, routesVersion, services);
   }
 
-  /** What may forbid an order when its first byte is due. */
-  private final class Knowledge implements OrderKnowledge {
+  /** Supplies the state that is checked right before the first byte of an order is sent. */
+  private final class CurrentState implements HolderState {
 
     @Override
     public UpperTime termConfirmed() {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureCoordinatorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureCoordinatorTest.java
@@ -131,7 +131,7 @@
   }
 
   /** One gateway. */
-  private final class Member implements FleetAudience {
+  private final class Member implements FleetMessenger {
 
     private final int index;
     private Set<TargetId> leaving = new HashSet<>();
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void tellAll(FleetMessage message) {
+    public void sendToFollowers(FleetMessage message) {
       if (index == holder) {
         members.forEach(member -> tell(member.index, message));
       }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OwnershipStoreTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/OwnershipStoreTest.java
@@ -23,7 +23,7 @@
       new OwnershipStore(memory, control, log, new RecordCodec(), 2);
   private final OwnershipStore later =
       new OwnershipStore(memory, control, log, new RecordCodec(), 37);
-  private final List<Long> overtakenBy = new ArrayList<>();
+  private final List<Long> conflictingTerms = new ArrayList<>();
 
   @AfterEach
   void tearDown() {
@@ -36,7 +36,7 @@
     read(later);
     write(later);
     write(earlier);
-    assertThat(overtakenBy).containsExactly(37L);
+    assertThat(conflictingTerms).containsExactly(37L);
     write(earlier);
     assertThat(termInStore()).isEqualTo(37);
   }
@@ -47,17 +47,17 @@
     read(later);
     write(earlier);
     write(later);
-    assertThat(overtakenBy).containsExactly(2L);
+    assertThat(conflictingTerms).containsExactly(2L);
     write(later);
     assertThat(termInStore()).isEqualTo(37);
   }
 
   @Test
-  void theWriteWithoutAnAnswerIsLookedUp() {
+  void theWriteWithoutAnAnswerIsReadBack() {
     read(earlier);
     memory.loseNextAnswer();
     write(earlier);
-    assertThat(overtakenBy).isEmpty();
+    assertThat(conflictingTerms).isEmpty();
     assertThat(earlier.isWriting()).isFalse();
     write(earlier);
     assertThat(termInStore()).isEqualTo(2);
@@ -65,7 +65,7 @@
 
   private void read(OwnershipStore store) {
     control.execute(() -> store.read(found -> {}));
-    settle();
+    runPendingTasks();
   }
 
   private void write(OwnershipStore store) {
@@ -76,10 +76,10 @@
                 List.of(),
                 target -> Optional.empty(),
                 () -> {},
-                found -> overtakenBy.add(found.map(OwnershipRecord::term).orElse(0L)));
+                found -> conflictingTerms.add(found.map(OwnershipRecord::term).orElse(0L)));
           }
         });
-    settle();
+    runPendingTasks();
   }
 
   private long termInStore() {
@@ -89,8 +89,11 @@
     return read.join().orElseThrow().term();
   }
 
-  /** Every call is answered at once, so a few turns of the control thread end whatever began. */
-  private void settle() {
+  /**
+   * Waits until pending work is done. Every store call is answered at once, so a few turns of the
+   * control thread are enough.
+   */
+  private void runPendingTasks() {
     for (int i = 0; i < 5; i++) {
       CompletableFuture<Void> turn = new CompletableFuture<>();
       control.execute(() -> turn.complete(null));
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ReplacedTargetTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A gateway tells the holder that another target answers at the address of an owner of keys. */
+/** Checks the report of a gateway that another target answers at the address of a key owner. */
 class ReplacedTargetTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
@@ -50,7 +50,7 @@
   private static final String ADDRESS_OF_B = "127.0.0.1:10";
   private static final long GRACE_MS = 9_500;
 
-  /** The first assignment waits for targets that register late. */
+  /** Time until the first assignment is done; it waits for targets that register late. */
   private static final long SETTLE_MS = 8_000;
 
   private final VirtualClock clock = new VirtualClock(10_000);
@@ -72,9 +72,9 @@
           false,
           1,
           GRACE_MS,
-          Reliance.partial(() -> 1_000),
-          new IgnoredEvents());
-  private HolderDuties duties;
+          PeerReliance.partial(() -> 1_000),
+          new NoOpTermListener());
+  private TermCoordinator coordinator;
 
   @BeforeEach
   void grantAllKeys() {
@@ -90,16 +90,16 @@
                     new CallerBounds(8_192, 1L << 20, 10_000, 60_000))));
     control.execute(lease::start);
     clock.advance(1_000);
-    duties = newDuties();
-    control.execute(duties::start);
+    coordinator = newCoordinator();
+    control.execute(coordinator::start);
     clock.advance(SETTLE_MS);
     assertThat(targets.grantsTo(A)).isNotEmpty();
     assertThat(targets.grantsTo(B)).isNotEmpty();
   }
 
   /**
-   * Guards against two owners of a key after news that was late: the next run under the owner's
-   * name has its leases by then, and cannot be reached when it is to give them back.
+   * Guards against two owners of a key after a late report: by then the next target instance under
+   * the same name holds leases, and it cannot be reached to release them.
    */
   @Test
   void keysOfTheReplacedTargetStayClosedUntilItIsProvedThatNobodyHasThem() {
@@ -108,12 +108,15 @@
     final int grants = targets.grantsTo(B).size();
     report(A);
     clock.advance(1_000);
-    assertThat(targets.newKeysOf(B, keys, grants)).isEmpty();
+    assertThat(targets.newGrantsOf(B, keys, grants)).isEmpty();
     clock.advance(TIMINGS.boundMs(TIMINGS.leaseMs()));
-    assertThat(targets.newKeysOf(B, keys, grants)).isNotEmpty();
+    assertThat(targets.newGrantsOf(B, keys, grants)).isNotEmpty();
   }
 
-  /** Guards against keys that stay closed for a lease although an answer proves them free. */
+  /**
+   * Guards against keys that stay closed for a full lease although an answer proves that they are
+   * free.
+   */
   @Test
   void keysOfTheReplacedTargetMoveOnceAnotherOneAnswersInItsPlace() {
     targets.answers.put(ADDRESS_OF_A, OrderOutcome.OTHER_TARGET);
@@ -121,15 +124,15 @@
     final int grants = targets.grantsTo(B).size();
     report(A);
     clock.advance(200);
-    assertThat(targets.newKeysOf(B, keys, grants)).isNotEmpty();
+    assertThat(targets.newGrantsOf(B, keys, grants)).isNotEmpty();
   }
 
   private void report(TargetId replaced) {
-    control.execute(() -> duties.onReport(new TargetReplaced(replaced)));
+    control.execute(() -> coordinator.onReport(new TargetReplaced(replaced)));
   }
 
-  private HolderDuties newDuties() {
-    return new HolderDuties(
+  private TermCoordinator newCoordinator() {
+    return new TermCoordinator(
         new GatewayPorts(
             new MemoryStore(),
             "configuration",
@@ -145,7 +148,7 @@
         TIMINGS,
         2,
         lease,
-        new NoAudience(),
+        new NoOpListener(),
         false,
         target -> OptionalDouble.empty(),
         target -> {});
@@ -155,7 +158,7 @@
     return new FleetTarget(id, SERVICE, address, new DataCentreId("here"), 4, TargetPhase.READY, 0);
   }
 
-  /** Targets that answer orders as they are told to, at once. */
+  /** Simulated targets that answer lease orders at once with the configured outcome. */
   private static final class Targets implements LeaseControl {
 
     private final Map<String, OrderOutcome> answers = new HashMap<>();
@@ -170,8 +173,8 @@
       return all.get(all.size() - 1).range();
     }
 
-    /** Returns the grants of these keys to a target since it had got so many. */
-    List<LeaseOrder.Grant> newKeysOf(TargetId target, KeyRange keys, int since) {
+    /** Returns the grants of these keys to a target after its first {@code since} grants. */
+    List<LeaseOrder.Grant> newGrantsOf(TargetId target, KeyRange keys, int since) {
       List<LeaseOrder.Grant> all = grantsTo(target);
       return all.subList(since, all.size()).stream()
           .filter(grant -> grant.range().first() <= keys.last())
@@ -204,7 +207,7 @@
     }
   }
 
-  private static final class NoAudience implements HolderDuties.Audience {
+  private static final class NoOpListener implements TermCoordinator.Listener {
 
     @Override
     public void onTargets(long term, long version, List<FleetTarget> targets) {}
@@ -213,7 +216,7 @@
     public void onRoutes(long term, long version, List<ServiceRanges> services) {}
   }
 
-  private static final class IgnoredEvents implements TermLease.Listener {
+  private static final class NoOpTermListener implements TermLease.Listener {
 
     @Override
     public void onGained(long term) {}
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingOwnersTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingTargetsTest.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RestingOwnersTest {
+class RestingTargetsTest {
 
   private static final TargetId TARGET = new TargetId("core-0");
 
   private long nowMs;
   private int gateways = 4;
-  private final RestingOwners resting = new RestingOwners(() -> nowMs, () -> gateways);
+  private final RestingTargets resting = new RestingTargets(() -> nowMs, () -> gateways);
 
   private void report(int gateway, TargetId target, long leftMs) {
     resting.onReport(
@@ -32,9 +32,12 @@
     assertThat(resting.isResting(TARGET)).isFalse();
   }
 
-  /** Many gateways send a target few requests each: half of them would hear of it too late. */
+  /**
+   * In a large fleet each gateway sends a target few requests, so waiting for half of the gateways
+   * would take too long.
+   */
   @Test
-  void inWideFleetsSomeGatewaysAreEnough() {
+  void inLargeFleetsThreeGatewaysAreEnough() {
     gateways = 95;
     report(1, TARGET, 3_000);
     report(2, TARGET, 3_000);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServiceDutiesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServicePlannerTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Load that is uneven, and targets that leave, while the store answers and while it does not. */
-class ServiceDutiesTest {
+/** Checks uneven load and leaving targets, with and without answers of the store. */
+class ServicePlannerTest {
 
   private static final ServiceId SERVICE = new ServiceId("core");
   private static final LeaseTimings TIMINGS =
@@ -40,8 +40,8 @@
   private final Set<TargetId> resting = new HashSet<>();
   private long tokens;
   private final LeaseManager desk = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
-  private final ServiceDuties duties =
-      new ServiceDuties(
+  private final ServicePlanner planner =
+      new ServicePlanner(
           SERVICE,
           desk,
           new DecisionLog(() -> 0, 100, line -> {}),
@@ -53,56 +53,56 @@
   void assignKeys() {
     register.put(target("a", TargetPhase.READY));
     register.put(target("b", TargetPhase.READY));
-    duties.plan(register, 3, true, SETTLED_MS);
+    planner.plan(register, 3, true, SETTLED_MS);
     desk.onWritten(desk.version());
     for (LeaseOrder order : desk.due(SETTLED_MS, target -> true)) {
       desk.onGrantEnded((LeaseOrder.Grant) order, OrderOutcome.DONE, SETTLED_MS, SETTLED_MS);
     }
-    duties.plan(register, 3, true, SETTLED_MS);
+    planner.plan(register, 3, true, SETTLED_MS);
   }
 
-  /** The first keys, all of one owner, cause work. */
+  /** Reports load on the first keys, all of which have one owner. */
   private void onWork(int workMs) {
     int[] keys = IntStream.range(0, BUSY_KEYS).toArray();
     int[] work = IntStream.range(0, BUSY_KEYS).map(key -> workMs).toArray();
-    duties.onKeyWork(new KeyLoadReport(SERVICE, keys, work, BUSY_KEYS));
+    planner.onKeyLoad(new KeyLoadReport(SERVICE, keys, work, BUSY_KEYS));
   }
 
   @Test
   void unevenLoadIsEvenedOut() {
     onWork(WORK_MS);
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isTrue();
   }
 
-  /** A move closes its keys until it is written, which may take as long as the outage. */
+  /** A move closes its keys until it is written, which may last as long as the store outage. */
   @Test
   void unevenLoadIsLeftAloneWhileTheStoreDoesNotAnswer() {
     onWork(WORK_MS);
-    duties.plan(register, 3, false, SETTLED_MS + 250);
+    planner.plan(register, 3, false, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isFalse();
     assertThat(desk.routes().stream().allMatch(route -> route.open())).isTrue();
   }
 
-  /** Its slots are nearly idle, but it takes 2 requests a second and gets 20. */
+  /** The slots of the owner are nearly idle, but it accepts 2 requests a second and is sent 20. */
   @Test
   void ownersWithLimitsAreRelieved() {
     onWork(LITTLE_WORK_MS);
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isFalse();
     limits.put(ownerOf(0), OptionalDouble.of(2));
-    duties.plan(register, 3, true, SETTLED_MS + 500);
+    planner.plan(register, 3, true, SETTLED_MS + 500);
     assertThat(desk.needsWrite()).isTrue();
     assertThat(ownersOfBusyKeys()).hasSize(2);
   }
 
-  /** Its slots are nearly idle, since no gateway sends it anything. */
+  /** The slots of the owner are nearly idle, since no gateway sends it anything. */
   @Test
   void ownersThatHaveAskedAllGatewaysForRestAreRelieved() {
     onWork(LITTLE_WORK_MS);
     final TargetId owner = ownerOf(0);
     resting.add(owner);
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isTrue();
     assertThat(ownersOfBusyKeys()).doesNotContain(owner);
   }
@@ -111,17 +111,17 @@
   void ownersThatRestKeepTheirKeysWhileNoMoveCanBeWritten() {
     onWork(LITTLE_WORK_MS);
     resting.add(ownerOf(0));
-    duties.plan(register, 3, false, SETTLED_MS + 250);
+    planner.plan(register, 3, false, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isFalse();
   }
 
-  /** That is overload: keys would only move to and fro. */
+  /** The service is overloaded then: moves would only shift keys back and forth. */
   @Test
   void ownersKeepTheirKeysIfMostOfThemRest() {
     onWork(LITTLE_WORK_MS);
     resting.add(new TargetId("a"));
     resting.add(new TargetId("b"));
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isFalse();
   }
 
@@ -131,7 +131,7 @@
     onWork(WORK_MS);
     limits.put(new TargetId("c"), OptionalDouble.of(0.1));
     register.put(target(ownerOf(0).value(), TargetPhase.DRAINING));
-    duties.plan(register, 3, true, SETTLED_MS + 250);
+    planner.plan(register, 3, true, SETTLED_MS + 250);
     assertThat(ownersOfBusyKeys()).doesNotContain(new TargetId("c"));
   }
 
@@ -150,7 +150,7 @@
   @Test
   void keysOfTargetsThatLeaveAreMovedInAnyCase() {
     register.put(target("a", TargetPhase.DRAINING));
-    duties.plan(register, 3, false, SETTLED_MS + 250);
+    planner.plan(register, 3, false, SETTLED_MS + 250);
     assertThat(desk.needsWrite()).isTrue();
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/SubscribersTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/SubscribersTest.java
@@ -27,16 +27,16 @@
   }
 
   @Test
-  void newSubscribersGetEverything() {
+  void newSubscribersReceiveTheFullState() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
     assertThat(channel.sent).containsExactly(view.targets(), view.routes());
   }
 
   @Test
-  void whatIsStillUnderWayIsNotSentAgain() {
+  void messagesInTransitAreNotSentAgain() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
     channel.sent.clear();
-    subscribers.tell(view.publishRoutes(TERM, 2, List.of()));
+    subscribers.sendToAll(view.publishRoutes(TERM, 2, List.of()));
     subscribers.onHello(channel, hello(TERM, 1), TERM, view, 300);
     assertThat(channel.sent).hasSize(1);
     subscribers.onHello(channel, hello(TERM, 2), TERM, view, 600);
@@ -44,9 +44,9 @@
   }
 
   @Test
-  void whatWasLostIsSentAgainWhole() {
+  void lostStateIsSentAgainInFull() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
-    subscribers.tell(view.publishRoutes(TERM, 2, List.of()));
+    subscribers.sendToAll(view.publishRoutes(TERM, 2, List.of()));
     subscribers.onHello(channel, hello(TERM, 1), TERM, view, 300);
     channel.sent.clear();
     subscribers.onHello(channel, hello(TERM, 1), TERM, view, 600);
@@ -63,28 +63,28 @@
   }
 
   @Test
-  void whatAnEarlierHolderDecidedIsNotPassedOn() {
+  void stateOfAnEarlierTermIsNotSent() {
     subscribers.onHello(channel, hello(0, 0), TERM + 1, view, 0);
     assertThat(channel.sent).isEmpty();
   }
 
   @Test
-  void silentGatewaysCountNoMore() {
+  void silentGatewaysAreNoLongerCounted() {
     subscribers.onHello(channel, hello(0, 0), TERM, view, 0);
-    subscribers.dropSilent(2_000, 300);
+    subscribers.removeSilent(2_000, 300);
     assertThat(subscribers.count()).isEqualTo(1);
-    subscribers.dropSilent(2_200, 300);
+    subscribers.removeSilent(2_200, 300);
     assertThat(subscribers.count()).isEqualTo(0);
   }
 
   @Test
-  void mostAreThoseThatFollowedBeforeTheyFellSilent() {
-    assertThat(subscribers.mostHeardSince(0)).isTrue();
+  void majorityIncludesFollowersThatFellSilent() {
+    assertThat(subscribers.majorityHeardSince(0)).isTrue();
     subscribers.onHello(channel, hello(0, 0), TERM, view, 1_000);
-    assertThat(subscribers.mostHeardSince(700)).isTrue();
-    assertThat(subscribers.mostHeardSince(1_300)).isFalse();
-    subscribers.dropSilent(9_000, 300);
-    assertThat(subscribers.mostHeardSince(8_700)).isFalse();
+    assertThat(subscribers.majorityHeardSince(700)).isTrue();
+    assertThat(subscribers.majorityHeardSince(1_300)).isFalse();
+    subscribers.removeSilent(9_000, 300);
+    assertThat(subscribers.majorityHeardSince(8_700)).isFalse();
   }
 
   private static FleetHello hello(long term, long routesVersion) {
@@ -92,7 +92,7 @@
         "gateway-1", term, term == 0 ? 0 : 1, term, routesVersion, 0, "dc", 1, 0, 0, 0, 0);
   }
 
-  /** Keeps what is sent. */
+  /** Records the sent messages and checks that their term is the current one. */
   private static final class Channel implements PeerChannel {
 
     private final List<PeerMessage> sent = new ArrayList<>();
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/HolderDutiesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/TermCoordinatorTest.java
@@ -25,8 +25,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a gateway tells the others once it holds the term. */
-class HolderDutiesTest {
+/** Checks what a gateway publishes to the others while it holds the term. */
+class TermCoordinatorTest {
 
   private static final LeaseTimings TIMINGS =
       new LeaseTimings(4_000, 10_000, 1_000, 2_000, 700, 100, 0.02, 100, 9_500);
@@ -34,13 +34,13 @@
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final VirtualRegistry registry = new VirtualRegistry(clock);
-  private final VirtualRegistry.Reader way = registry.new Reader();
+  private final VirtualRegistry.Reader reader = registry.new Reader();
   private final ControlThread control =
       new ControlThread("test", FailureHandler.logging(), new VirtualExecutor(clock));
   private final RoutingState state = new RoutingState(2);
-  private final List<List<FleetTarget>> told = new ArrayList<>();
+  private final List<List<FleetTarget>> published = new ArrayList<>();
 
-  private HolderDuties duties() {
+  private TermCoordinator coordinator() {
     DecisionLog log = new DecisionLog(clock, 1, line -> {});
     CursorStore store = new CursorStore(clock);
     TermLease lease =
@@ -55,20 +55,20 @@
             true,
             1,
             9_500,
-            Reliance.partial(() -> 1_460),
+            PeerReliance.partial(() -> 1_460),
             null);
-    HolderDuties.Audience audience =
-        new HolderDuties.Audience() {
+    TermCoordinator.Listener listener =
+        new TermCoordinator.Listener() {
           @Override
           public void onTargets(long term, long version, List<FleetTarget> targets) {
-            told.add(targets);
+            published.add(targets);
           }
 
           @Override
           public void onRoutes(long term, long version, List<ServiceRanges> services) {}
         };
-    return new HolderDuties(
-        new GatewayPorts(store, "configuration", bytes -> null, way, null, null),
+    return new TermCoordinator(
+        new GatewayPorts(store, "configuration", bytes -> null, reader, null, null),
         state,
         control,
         clock,
@@ -77,40 +77,43 @@
         TIMINGS,
         2,
         lease,
-        audience,
+        listener,
         false,
         target -> OptionalDouble.empty(),
         target -> {});
   }
 
   /**
-   * Guards against a holder that tells as the newest targets those that it knew before its term:
-   * another target's departure comes before the registry has answered it.
+   * Guards against a holder that publishes the targets known before its term as current: a
+   * departure of another target triggers a publication before the registry has answered.
    */
   @Test
-  void targetsAreToldOnlyOnceTheRegistryHasAnswered() {
+  void targetsArePublishedOnlyOnceTheRegistryHasAnswered() {
     state.update(s -> s.withTargets(List.of(READY, target(B, TargetPhase.READY))));
     registry.put(target(A, TargetPhase.DRAINING));
-    way.silenceNextListings(1);
-    HolderDuties duties = duties();
-    control.execute(duties::start);
+    reader.silenceNextListings(1);
+    TermCoordinator coordinator = coordinator();
+    control.execute(coordinator::start);
     clock.advance(100);
     state.update(s -> s.withLeaving(Set.of(B)));
-    duties.onDepartures();
-    boolean toldOld = told.stream().anyMatch(targets -> targets.contains(READY));
-    assertWithMessage("tells that the target is ready, before it has read anything")
-        .that(toldOld)
+    coordinator.onDepartures();
+    boolean publishedOutdated = published.stream().anyMatch(targets -> targets.contains(READY));
+    assertWithMessage("published the target as ready before any registry answer")
+        .that(publishedOutdated)
         .isFalse();
   }
 
-  /** Guards against a holder that passes for one that knows, before the registry has answered. */
+  /**
+   * Guards against a holder that reports its targets as up to date before the registry has
+   * answered.
+   */
   @Test
   void theAgeOfTheRegistryBeginsWithItsFirstAnswer() {
-    way.silenceNextListings(5);
-    HolderDuties duties = duties();
-    control.execute(duties::start);
+    reader.silenceNextListings(5);
+    TermCoordinator coordinator = coordinator();
+    control.execute(coordinator::start);
     clock.advance(1_000);
-    assertThat(clock.upper().sinceMs(duties.targetsConfirmed()))
+    assertThat(clock.upper().sinceMs(coordinator.targetsConfirmed()))
         .isGreaterThan(FleetLink.STALE_REGISTRY_MS);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchDelayBoundsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchDelayBoundsTest.java
@@ -44,10 +44,10 @@
   private final List<String> lines = new ArrayList<>();
 
   private KeyFollower follower(CursorStore from, long maxAgeMs) {
-    return follower(from, Reliance.partial(() -> maxAgeMs));
+    return follower(from, PeerReliance.partial(() -> maxAgeMs));
   }
 
-  private KeyFollower follower(CursorStore from, Reliance reliance) {
+  private KeyFollower follower(CursorStore from, PeerReliance reliance) {
     return new KeyFollower(
         from,
         "key",
@@ -121,8 +121,8 @@
 
   /** The watch and the link to the holder become silent together, just after a confirmation. */
   private long worstDelayMs(int processes, int furtherSilentCalls, boolean reliesEntirely) {
-    FleetPace pace = new FleetPace(new RoutingState(processes));
-    Reliance reliance = new Reliance(pace::confirmedMs, () -> reliesEntirely);
+    FleetTimings pace = new FleetTimings(new RoutingState(processes));
+    PeerReliance reliance = new PeerReliance(pace::confirmedMs, () -> reliesEntirely);
     long worst = 0;
     for (int phase = 0; phase < 150; phase += 10) {
       CursorStore ofFollower = new CursorStore(clock);
@@ -198,7 +198,7 @@
             control,
             clock,
             log,
-            Reliance.partial(() -> 1_460),
+            PeerReliance.partial(() -> 1_460),
             value -> {});
     control.execute(watch::start);
     clock.advance(10);
@@ -257,7 +257,7 @@
             true,
             1,
             9_500,
-            Reliance.partial(() -> 1_460),
+            PeerReliance.partial(() -> 1_460),
             listener);
     control.execute(lease::start);
     clock.advance(30_000);
