--- a/cuminvalve-cli/src/main/java/io/cuminvalve/cli/Connections.java
+++ b/cuminvalve-cli/src/main/java/io/cuminvalve/cli/Connections.java
@@ -7,7 +7,7 @@
 import io.cuminvalve.config.settings.OperatorSettings;
 import io.cuminvalve.config.settings.SharedKeyFile;
 import io.cuminvalve.core.id.PublicationId;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
 import io.cuminvalve.ports.store.HttpKeyValueStore;
 import java.util.List;
 import java.util.UUID;
@@ -22,7 +22,7 @@
   private Connections() {}
 
   static Connection open(OperatorSettings settings) {
-    HttpCaller caller = new HttpCaller("store", settings.callTimeoutMs());
+    BoundedHttpClient caller = new BoundedHttpClient("store", settings.callTimeoutMs());
     caller.start();
     List<String> storeAddresses =
         settings.storeAddresses().stream().map(IpAddresses::format).toList();
--- a/cuminvalve-controller/src/main/java/io/cuminvalve/controller/Controller.java
+++ b/cuminvalve-controller/src/main/java/io/cuminvalve/controller/Controller.java
@@ -10,7 +10,7 @@
 import io.cuminvalve.kernel.SharedKey;
 import io.cuminvalve.ports.host.HostList;
 import io.cuminvalve.ports.host.HttpHostList;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
 import io.cuminvalve.ports.store.HttpKeyValueStore;
 import io.cuminvalve.ports.store.KeyValueStore;
 import io.cuminvalve.ports.target.HttpTargetControl;
@@ -88,7 +88,7 @@
    */
   public static Controller overHttp(ControllerSettings settings, SharedKey sharedKey) {
     AuthorityTimings timings = settings.timings();
-    HttpCaller caller = new HttpCaller("platform", timings.targetTimeoutMs());
+    BoundedHttpClient caller = new BoundedHttpClient("platform", timings.targetTimeoutMs());
     return new Controller(
         settings,
         sharedKey,
--- a/cuminvalve-controller/src/test/java/io/cuminvalve/controller/ControllerTest.java
+++ b/cuminvalve-controller/src/test/java/io/cuminvalve/controller/ControllerTest.java
@@ -28,7 +28,7 @@
 import io.cuminvalve.kernel.FailureHandler;
 import io.cuminvalve.kernel.MillisClock;
 import io.cuminvalve.kernel.SharedKey;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
 import io.cuminvalve.ports.store.HttpKeyValueStore;
 import io.cuminvalve.ports.store.StoreValue;
 import io.cuminvalve.ports.store.WatchResult;
@@ -68,7 +68,7 @@
   private static final CellId CELL = new CellId("claims");
   private static final MessagePackTableCodec CODEC = new MessagePackTableCodec(new RecordCodec());
 
-  private final HttpCaller caller = new HttpCaller("test", 5_000);
+  private final BoundedHttpClient caller = new BoundedHttpClient("test", 5_000);
   private final List<Controller> controllers = new ArrayList<>();
   private StoreStandIn standIn;
   private HttpKeyValueStore store;
--- a/cuminvalve-demo/src/main/java/io/cuminvalve/demo/DemoCluster.java
+++ b/cuminvalve-demo/src/main/java/io/cuminvalve/demo/DemoCluster.java
@@ -21,7 +21,7 @@
 import io.cuminvalve.kernel.ErrorCode;
 import io.cuminvalve.kernel.MillisClock;
 import io.cuminvalve.kernel.SharedKey;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
 import io.cuminvalve.ports.store.HttpKeyValueStore;
 import io.cuminvalve.ports.store.KeyValueStore;
 import io.cuminvalve.ports.store.StoreOutcome;
@@ -62,7 +62,7 @@
   private final Map<TargetId, TargetStandIn> targets = new LinkedHashMap<>();
   private final List<Controller> controllers = new ArrayList<>();
   private final List<Router> routers = new ArrayList<>();
-  private final HttpCaller caller = new HttpCaller("demo", STORE_TIMEOUT_MS);
+  private final BoundedHttpClient caller = new BoundedHttpClient("demo", STORE_TIMEOUT_MS);
   private final SharedKey sharedKey = new SharedKey(UUID.randomUUID().toString());
   private final MessagePackTableCodec tableCodec = new MessagePackTableCodec(new RecordCodec());
   private final DemoConfiguration configuration;
--- a/cuminvalve-demo/src/main/java/io/cuminvalve/demo/experiment/Fleet.java
+++ b/cuminvalve-demo/src/main/java/io/cuminvalve/demo/experiment/Fleet.java
@@ -18,7 +18,7 @@
 import io.cuminvalve.core.table.ShardTable;
 import io.cuminvalve.kernel.CodedException;
 import io.cuminvalve.kernel.ErrorCode;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
 import io.cuminvalve.ports.store.HttpKeyValueStore;
 import io.cuminvalve.ports.store.KeyValueStore;
 import io.cuminvalve.ports.store.StoreValue;
@@ -60,7 +60,7 @@
   private final Path folder;
   private final MessagePackTableCodec codec = new MessagePackTableCodec(new RecordCodec());
   private final HttpClient http = HttpClient.newHttpClient();
-  private final HttpCaller caller = new HttpCaller("experiment", STORE_TIMEOUT_MS);
+  private final BoundedHttpClient caller = new BoundedHttpClient("experiment", STORE_TIMEOUT_MS);
   private final ManagedProcess store;
   private final ManagedProcess hostList;
   private final Map<TargetId, ManagedProcess> targets = new LinkedHashMap<>();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCalls.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCalls.java
@@ -5,8 +5,8 @@
 import io.cuminvalve.kernel.Backoff;
 import io.cuminvalve.kernel.MillisClock;
 import io.cuminvalve.ports.store.StoreCall;
-import io.cuminvalve.ports.store.StoreCallEnd;
 import io.cuminvalve.ports.store.StoreCallGuard;
+import io.cuminvalve.ports.store.StoreCallOutcome;
 import java.util.OptionalLong;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
@@ -58,13 +58,13 @@
     }
     OptionalLong number = breaker.begin(clock.nowMs());
     if (number.isEmpty()) {
-      metrics.onEnded(call, StoreCallEnd.HELD_BACK);
+      metrics.onEnded(call, StoreCallOutcome.HELD_BACK);
     }
     return number;
   }
 
   @Override
-  public void onEnded(StoreCall call, long number, StoreCallEnd end) {
+  public void onEnded(StoreCall call, long number, StoreCallOutcome end) {
     metrics.onEnded(call, end);
     if (isUrgent(call)) {
       return;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/MetricsPage.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/MetricsPage.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.observe;
 
 import io.cuminvalve.ports.store.StoreCall;
-import io.cuminvalve.ports.store.StoreCallEnd;
+import io.cuminvalve.ports.store.StoreCallOutcome;
 import io.prometheus.metrics.expositionformats.PrometheusTextFormatWriter;
 import io.prometheus.metrics.model.snapshots.ClassicHistogramBuckets;
 import io.prometheus.metrics.model.snapshots.CounterSnapshot;
@@ -122,7 +122,7 @@
             .name("cuminvalve_store_calls")
             .help("Calls of the store, by kind and end; those held back were not made.");
     for (StoreCall call : StoreCall.values()) {
-      for (StoreCallEnd end : StoreCallEnd.values()) {
+      for (StoreCallOutcome end : StoreCallOutcome.values()) {
         counter.dataPoint(
             CounterSnapshot.CounterDataPointSnapshot.builder()
                 .labels(Labels.of("call", call.label(), "end", end.label()))
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/StoreCallMetrics.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/StoreCallMetrics.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.observe;
 
 import io.cuminvalve.ports.store.StoreCall;
-import io.cuminvalve.ports.store.StoreCallEnd;
+import io.cuminvalve.ports.store.StoreCallOutcome;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
@@ -13,14 +13,14 @@
  */
 public final class StoreCallMetrics {
 
-  private final Map<StoreCall, Map<StoreCallEnd, LongAdder>> counts =
+  private final Map<StoreCall, Map<StoreCallOutcome, LongAdder>> counts =
       new EnumMap<>(StoreCall.class);
 
   /** Creates counters at zero. */
   public StoreCallMetrics() {
     for (StoreCall call : StoreCall.values()) {
-      Map<StoreCallEnd, LongAdder> ends = new EnumMap<>(StoreCallEnd.class);
-      for (StoreCallEnd end : StoreCallEnd.values()) {
+      Map<StoreCallOutcome, LongAdder> ends = new EnumMap<>(StoreCallOutcome.class);
+      for (StoreCallOutcome end : StoreCallOutcome.values()) {
         ends.put(end, new LongAdder());
       }
       counts.put(call, ends);
@@ -33,7 +33,7 @@
    * @param call what it did; not null
    * @param end how it ended; not null
    */
-  public void onEnded(StoreCall call, StoreCallEnd end) {
+  public void onEnded(StoreCall call, StoreCallOutcome end) {
     counts.get(call).get(end).increment();
   }
 
@@ -44,7 +44,7 @@
    * @param end how they ended; not null
    * @return at least 0
    */
-  public long count(StoreCall call, StoreCallEnd end) {
+  public long count(StoreCall call, StoreCallOutcome end) {
     return counts.get(call).get(end).sum();
   }
 
@@ -56,8 +56,8 @@
   public long made() {
     long sum = 0;
     for (StoreCall call : StoreCall.values()) {
-      for (StoreCallEnd end : StoreCallEnd.values()) {
-        sum += end == StoreCallEnd.HELD_BACK ? 0 : count(call, end);
+      for (StoreCallOutcome end : StoreCallOutcome.values()) {
+        sum += end == StoreCallOutcome.HELD_BACK ? 0 : count(call, end);
       }
     }
     return sum;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/GuardedStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/GuardedStore.java
@@ -2,8 +2,8 @@
 
 import io.cuminvalve.ports.store.ReadResult;
 import io.cuminvalve.ports.store.StoreCall;
-import io.cuminvalve.ports.store.StoreCallEnd;
 import io.cuminvalve.ports.store.StoreCallGuard;
+import io.cuminvalve.ports.store.StoreCallOutcome;
 import io.cuminvalve.ports.store.StoreOutcome;
 import io.cuminvalve.ports.store.StoreValue;
 import io.cuminvalve.ports.store.WatchResult;
@@ -43,7 +43,7 @@
     clock.schedule(
         answerMs + (refused ? 0 : waitMs),
         () -> {
-          StoreCallEnd end = refused ? StoreCallEnd.REFUSED : StoreCallEnd.ANSWERED;
+          StoreCallOutcome end = refused ? StoreCallOutcome.REFUSED : StoreCallOutcome.ANSWERED;
           guard.onEnded(call, number.getAsLong(), end);
           answer.complete(!refused);
         });
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCallsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCallsTest.java
@@ -11,8 +11,8 @@
 import io.cuminvalve.ports.fleet.RegistryListing;
 import io.cuminvalve.ports.fleet.TargetRegistry;
 import io.cuminvalve.ports.store.StoreCall;
-import io.cuminvalve.ports.store.StoreCallEnd;
 import io.cuminvalve.ports.store.StoreCallGuard;
+import io.cuminvalve.ports.store.StoreCallOutcome;
 import io.cuminvalve.testkit.time.VirtualClock;
 import io.cuminvalve.testkit.time.VirtualExecutor;
 import java.util.List;
@@ -86,19 +86,19 @@
   @Test
   void keepingTheTermIsNeverHeldBack() {
     StoreCalls guard = newGuard();
-    guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallEnd.REFUSED);
+    guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallOutcome.REFUSED);
     assertThat(guard.begin(StoreCall.WATCH)).isEmpty();
     assertThat(guard.begin(StoreCall.LEASE_KEEP)).isPresent();
     assertThat(guard.begin(StoreCall.LEASE_END)).isPresent();
-    assertThat(metrics.count(StoreCall.WATCH, StoreCallEnd.HELD_BACK)).isEqualTo(1);
+    assertThat(metrics.count(StoreCall.WATCH, StoreCallOutcome.HELD_BACK)).isEqualTo(1);
   }
 
   @Test
   void anAnswerToKeepingTheTermSaysNothingOfOtherCalls() {
     StoreCalls guard = newGuard();
-    guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallEnd.REFUSED);
+    guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallOutcome.REFUSED);
     long kept = beginOrFail(guard, StoreCall.LEASE_KEEP);
-    guard.onEnded(StoreCall.LEASE_KEEP, kept, StoreCallEnd.ANSWERED);
+    guard.onEnded(StoreCall.LEASE_KEEP, kept, StoreCallOutcome.ANSWERED);
     assertThat(guard.begin(StoreCall.WATCH)).isEmpty();
   }
 
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void onEnded(StoreCall call, long number, StoreCallEnd end) {
+    public void onEnded(StoreCall call, long number, StoreCallOutcome end) {
       metrics.onEnded(call, end);
     }
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/MetricsPageTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/observe/MetricsPageTest.java
@@ -4,7 +4,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import io.cuminvalve.ports.store.StoreCall;
-import io.cuminvalve.ports.store.StoreCallEnd;
+import io.cuminvalve.ports.store.StoreCallOutcome;
 import org.junit.jupiter.api.Test;
 
 class MetricsPageTest {
@@ -62,10 +62,10 @@
 
   @Test
   void callsOfTheStoreAreCountedByKindAndEnd() {
-    storeCalls.onEnded(StoreCall.WATCH, StoreCallEnd.REFUSED);
-    storeCalls.onEnded(StoreCall.WATCH, StoreCallEnd.REFUSED);
-    storeCalls.onEnded(StoreCall.LEASE_KEEP, StoreCallEnd.ANSWERED);
-    storeCalls.onEnded(StoreCall.LIST, StoreCallEnd.HELD_BACK);
+    storeCalls.onEnded(StoreCall.WATCH, StoreCallOutcome.REFUSED);
+    storeCalls.onEnded(StoreCall.WATCH, StoreCallOutcome.REFUSED);
+    storeCalls.onEnded(StoreCall.LEASE_KEEP, StoreCallOutcome.ANSWERED);
+    storeCalls.onEnded(StoreCall.LIST, StoreCallOutcome.HELD_BACK);
     String text = text();
     assertThat(text).contains("cuminvalve_store_calls_total{call=\"watch\",end=\"refused\"} 2");
     assertThat(text).contains("cuminvalve_store_calls_total{call=\"watch\",end=\"answered\"} 0");
--- a/cuminvalve-ports/src/main/java/io/cuminvalve/ports/host/HttpHostList.java
+++ b/cuminvalve-ports/src/main/java/io/cuminvalve/ports/host/HttpHostList.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import io.cuminvalve.ports.http.HttpAnswer;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
+import io.cuminvalve.ports.http.HttpCallResult;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final HttpCaller caller;
+  private final BoundedHttpClient caller;
   private final List<String> addresses;
   private final long timeoutMs;
 
@@ -30,7 +30,7 @@
    * @param addresses the endpoints in the order to try, IP address and port; may be empty; not null
    * @param timeoutMs bound on each call; milliseconds
    */
-  public HttpHostList(HttpCaller caller, List<String> addresses, long timeoutMs) {
+  public HttpHostList(BoundedHttpClient caller, List<String> addresses, long timeoutMs) {
     this.caller = caller;
     this.addresses = List.copyOf(addresses);
     this.timeoutMs = timeoutMs;
@@ -55,8 +55,8 @@
                     : hostsFrom(index + 1));
   }
 
-  private static Optional<List<Host>> parse(HttpAnswer answer) {
-    if (!answer.hasStatus(HttpAnswer.OK)) {
+  private static Optional<List<Host>> parse(HttpCallResult answer) {
+    if (!answer.hasStatus(HttpCallResult.OK)) {
       return Optional.empty();
     }
     try {
--- a/cuminvalve-ports/src/main/java/io/cuminvalve/ports/http/HttpCaller.java
+++ b/cuminvalve-ports/src/main/java/io/cuminvalve/ports/http/BoundedHttpClient.java
@@ -26,7 +26,7 @@
  *
  * @since 0.1
  */
-public final class HttpCaller implements ManagedService {
+public final class BoundedHttpClient implements ManagedService {
 
   private static final int MAX_ANSWER_BYTES = 4 * 1024 * 1024;
   private static final int MAX_CONNECTIONS_PER_ADDRESS = 64;
@@ -43,11 +43,11 @@
    * @param name prefix of the names of its threads; not null
    * @param connectTimeoutMs how long opening a connection may take; milliseconds
    */
-  public HttpCaller(String name, long connectTimeoutMs) {
+  public BoundedHttpClient(String name, long connectTimeoutMs) {
     this(name, connectTimeoutMs, IDLE_TIMEOUT_MS);
   }
 
-  HttpCaller(String name, long connectTimeoutMs, long idleTimeoutMs) {
+  BoundedHttpClient(String name, long connectTimeoutMs, long idleTimeoutMs) {
     DaemonThreadPool threads = new DaemonThreadPool(name, MAX_THREADS, MIN_THREADS);
     ClientConnector connector = new AbortingConnector();
     connector.setSelectors(1);
@@ -90,7 +90,7 @@
    * @param timeoutMs bound on the whole call; milliseconds
    * @return never null
    */
-  public CompletableFuture<HttpAnswer> call(String method, String url, long timeoutMs) {
+  public CompletableFuture<HttpCallResult> call(String method, String url, long timeoutMs) {
     return send(client.newRequest(url).method(method), timeoutMs);
   }
 
@@ -104,7 +104,7 @@
    * @param timeoutMs bound on the whole call; milliseconds
    * @return never null
    */
-  public CompletableFuture<HttpAnswer> call(
+  public CompletableFuture<HttpCallResult> call(
       String method, String url, String contentType, byte[] body, long timeoutMs) {
     return call(method, url, Map.of(), contentType, body, timeoutMs);
   }
@@ -120,7 +120,7 @@
    * @param timeoutMs bound on the whole call; milliseconds
    * @return never null
    */
-  public CompletableFuture<HttpAnswer> call(
+  public CompletableFuture<HttpCallResult> call(
       String method,
       String url,
       Map<String, String> headers,
@@ -143,7 +143,7 @@
    * @param mayBegin tells whether it may still be sent; called on a thread of the client; not null
    * @return never null
    */
-  public CompletableFuture<HttpAnswer> callIf(
+  public CompletableFuture<HttpCallResult> callIf(
       String method,
       String url,
       Map<String, String> headers,
@@ -181,7 +181,7 @@
    * @param mayBegin tells whether it may still be sent; called on a thread of the client; not null
    * @return never null
    */
-  public CompletableFuture<HttpAnswer> callOverKnownConnection(
+  public CompletableFuture<HttpCallResult> callOverKnownConnection(
       String method,
       String url,
       Map<String, String> headers,
@@ -216,17 +216,17 @@
    * @param timeoutMs bound on each of the two calls; milliseconds
    * @return never null
    */
-  public CompletableFuture<HttpAnswer> get(String url, long timeoutMs) {
+  public CompletableFuture<HttpCallResult> get(String url, long timeoutMs) {
     return call("GET", url, timeoutMs)
         .thenCompose(
             answer ->
-                answer.kind() == HttpAnswer.Kind.BROKEN
+                answer.kind() == HttpCallResult.Kind.BROKEN
                     ? call("GET", url, timeoutMs)
                     : CompletableFuture.completedFuture(answer));
   }
 
-  private CompletableFuture<HttpAnswer> send(Request request, long timeoutMs) {
-    CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
+  private CompletableFuture<HttpCallResult> send(Request request, long timeoutMs) {
+    CompletableFuture<HttpCallResult> answer = new CompletableFuture<>();
     AtomicBoolean begun = new AtomicBoolean();
     // A call that waits for its answer is not idle: only its own bound ends it.
     request
@@ -243,24 +243,24 @@
     return answer;
   }
 
-  private static HttpAnswer answerOf(
+  private static HttpCallResult answerOf(
       Result result, BufferingResponseListener listener, boolean begun) {
     if (result.isSucceeded()) {
       byte[] body = listener.getContent() == null ? new byte[0] : listener.getContent();
-      return new HttpAnswer(
-          HttpAnswer.Kind.ANSWERED,
+      return new HttpCallResult(
+          HttpCallResult.Kind.ANSWERED,
           result.getResponse().getStatus(),
           result.getResponse().getHeaders(),
           body);
     }
     if (isRefused(result.getFailure())) {
-      return HttpAnswer.failed(HttpAnswer.Kind.REFUSED);
+      return HttpCallResult.failed(HttpCallResult.Kind.REFUSED);
     }
     if (!begun || result.getFailure() instanceof WithheldException) {
-      return HttpAnswer.failed(HttpAnswer.Kind.NOT_SENT);
+      return HttpCallResult.failed(HttpCallResult.Kind.NOT_SENT);
     }
     boolean late = result.getFailure() instanceof TimeoutException;
-    return HttpAnswer.failed(late ? HttpAnswer.Kind.NO_ANSWER : HttpAnswer.Kind.BROKEN);
+    return HttpCallResult.failed(late ? HttpCallResult.Kind.NO_ANSWER : HttpCallResult.Kind.BROKEN);
   }
 
   private static boolean isRefused(Throwable failure) {
--- a/cuminvalve-ports/src/main/java/io/cuminvalve/ports/http/HttpAnswer.java
+++ b/cuminvalve-ports/src/main/java/io/cuminvalve/ports/http/HttpCallResult.java
@@ -11,7 +11,8 @@
  * @param body the body; not null, empty unless answered
  * @since 0.1
  */
-public record HttpAnswer(HttpAnswer.Kind kind, int status, HttpFields headers, byte[] body) {
+public record HttpCallResult(
+    HttpCallResult.Kind kind, int status, HttpFields headers, byte[] body) {
 
   /** The status of a call that did what was asked. */
   public static final int OK = 200;
@@ -45,8 +46,8 @@
    * @param kind how it ended; not ANSWERED; not null
    * @return never null
    */
-  public static HttpAnswer failed(Kind kind) {
-    return new HttpAnswer(kind, 0, HttpFields.EMPTY, new byte[0]);
+  public static HttpCallResult failed(Kind kind) {
+    return new HttpCallResult(kind, 0, HttpFields.EMPTY, new byte[0]);
   }
 
   /**
--- a/cuminvalve-ports/src/main/java/io/cuminvalve/ports/store/HttpKeyValueStore.java
+++ b/cuminvalve-ports/src/main/java/io/cuminvalve/ports/store/HttpKeyValueStore.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import io.cuminvalve.ports.http.HttpAnswer;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
+import io.cuminvalve.ports.http.HttpCallResult;
 import java.io.IOException;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
@@ -26,7 +26,7 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String OCTETS = "application/octet-stream";
 
-  private final HttpCaller caller;
+  private final BoundedHttpClient caller;
   private final List<String> addresses;
   private final long timeoutMs;
   private final AtomicInteger preferred = new AtomicInteger();
@@ -38,7 +38,7 @@
    * @param addresses the store's endpoints, IP address and port; not null, not empty
    * @param timeoutMs bound on each call besides the wait of a watch; milliseconds
    */
-  public HttpKeyValueStore(HttpCaller caller, List<String> addresses, long timeoutMs) {
+  public HttpKeyValueStore(BoundedHttpClient caller, List<String> addresses, long timeoutMs) {
     this.caller = caller;
     this.addresses = List.copyOf(addresses);
     this.timeoutMs = timeoutMs;
@@ -95,12 +95,13 @@
         .thenApply(HttpKeyValueStore::outcomeOf);
   }
 
-  private CompletableFuture<HttpAnswer> call(Function<String, CompletableFuture<HttpAnswer>> call) {
+  private CompletableFuture<HttpCallResult> call(
+      Function<String, CompletableFuture<HttpCallResult>> call) {
     return callFrom(preferred.get(), 1, call);
   }
 
-  private CompletableFuture<HttpAnswer> callFrom(
-      int index, int attempt, Function<String, CompletableFuture<HttpAnswer>> call) {
+  private CompletableFuture<HttpCallResult> callFrom(
+      int index, int attempt, Function<String, CompletableFuture<HttpCallResult>> call) {
     String base = "http://" + addresses.get(index);
     return call.apply(base)
         .thenCompose(
@@ -114,15 +115,15 @@
             });
   }
 
-  private static ReadResult toReadResult(HttpAnswer answer) {
-    if (answer.hasStatus(HttpAnswer.NOT_FOUND)) {
+  private static ReadResult toReadResult(HttpCallResult answer) {
+    if (answer.hasStatus(HttpCallResult.NOT_FOUND)) {
       return new ReadResult(StoreOutcome.DONE, Optional.empty());
     }
     Optional<StoreValue> value = valueOf(answer);
     return new ReadResult(value.isPresent() ? StoreOutcome.DONE : StoreOutcome.UNAVAILABLE, value);
   }
 
-  private static WriteResult toWriteResult(HttpAnswer answer) {
+  private static WriteResult toWriteResult(HttpCallResult answer) {
     StoreOutcome outcome = outcomeOf(answer);
     if (outcome != StoreOutcome.DONE && outcome != StoreOutcome.CONFLICT) {
       return new WriteResult(outcome, 0);
@@ -134,11 +135,11 @@
     return new WriteResult(outcome, revision.orElse(0L));
   }
 
-  private static WatchResult toWatchResult(HttpAnswer answer) {
-    if (answer.hasStatus(HttpAnswer.NO_CONTENT)) {
+  private static WatchResult toWatchResult(HttpCallResult answer) {
+    if (answer.hasStatus(HttpCallResult.NO_CONTENT)) {
       return new WatchResult(WatchResult.Event.UNCHANGED, Optional.empty());
     }
-    if (answer.hasStatus(HttpAnswer.NOT_FOUND)) {
+    if (answer.hasStatus(HttpCallResult.NOT_FOUND)) {
       return new WatchResult(WatchResult.Event.ABSENT, Optional.empty());
     }
     Optional<StoreValue> value = valueOf(answer);
@@ -146,7 +147,7 @@
         value.isPresent() ? WatchResult.Event.CHANGED : WatchResult.Event.UNAVAILABLE, value);
   }
 
-  private static LeaseResult toLeaseResult(HttpAnswer answer) {
+  private static LeaseResult toLeaseResult(HttpCallResult answer) {
     StoreOutcome outcome = outcomeOf(answer);
     Optional<StoreLeaseId> lease =
         outcome == StoreOutcome.DONE
@@ -160,20 +161,20 @@
   }
 
   /** A write that may have reached the store and was not plainly answered has an unknown effect. */
-  private static StoreOutcome outcomeOf(HttpAnswer answer) {
+  private static StoreOutcome outcomeOf(HttpCallResult answer) {
     if (answer.isUnsent()) {
       return StoreOutcome.UNAVAILABLE;
     }
-    if (answer.hasStatus(HttpAnswer.OK) || answer.hasStatus(HttpAnswer.NO_CONTENT)) {
+    if (answer.hasStatus(HttpCallResult.OK) || answer.hasStatus(HttpCallResult.NO_CONTENT)) {
       return StoreOutcome.DONE;
     }
     boolean conflict =
-        answer.hasStatus(HttpAnswer.CONFLICT) || answer.hasStatus(HttpAnswer.NOT_FOUND);
+        answer.hasStatus(HttpCallResult.CONFLICT) || answer.hasStatus(HttpCallResult.NOT_FOUND);
     return conflict ? StoreOutcome.CONFLICT : StoreOutcome.UNKNOWN;
   }
 
-  private static Optional<StoreValue> valueOf(HttpAnswer answer) {
-    if (!answer.hasStatus(HttpAnswer.OK)) {
+  private static Optional<StoreValue> valueOf(HttpCallResult answer) {
+    if (!answer.hasStatus(HttpCallResult.OK)) {
       return Optional.empty();
     }
     return parse(answer).flatMap(HttpKeyValueStore::valueOf);
@@ -191,7 +192,7 @@
     }
   }
 
-  private static Optional<JsonNode> parse(HttpAnswer answer) {
+  private static Optional<JsonNode> parse(HttpCallResult answer) {
     try {
       return Optional.of(JSON.readTree(answer.body()));
     } catch (IOException malformed) {
--- a/cuminvalve-ports/src/main/java/io/cuminvalve/ports/store/StoreCallGuard.java
+++ b/cuminvalve-ports/src/main/java/io/cuminvalve/ports/store/StoreCallGuard.java
@@ -27,5 +27,5 @@
    * @param number what {@link #begin} returned
    * @param end how it ended; not null
    */
-  void onEnded(StoreCall call, long number, StoreCallEnd end);
+  void onEnded(StoreCall call, long number, StoreCallOutcome end);
 }
--- a/cuminvalve-ports/src/main/java/io/cuminvalve/ports/store/StoreCallEnd.java
+++ b/cuminvalve-ports/src/main/java/io/cuminvalve/ports/store/StoreCallOutcome.java
@@ -7,7 +7,7 @@
  *
  * @since 0.2
  */
-public enum StoreCallEnd {
+public enum StoreCallOutcome {
   /** The store answered the question, whatever the answer says. */
   ANSWERED,
   /** The store turned the call away. */
--- a/cuminvalve-ports/src/main/java/io/cuminvalve/ports/target/HttpTargetControl.java
+++ b/cuminvalve-ports/src/main/java/io/cuminvalve/ports/target/HttpTargetControl.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cuminvalve.core.id.Incarnation;
 import io.cuminvalve.core.id.RequestId;
-import io.cuminvalve.ports.http.HttpAnswer;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
+import io.cuminvalve.ports.http.HttpCallResult;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -31,7 +31,7 @@
   private static final String JSON_TYPE = "application/json";
   private static final String BASE = "/cuminvalve/";
 
-  private final HttpCaller caller;
+  private final BoundedHttpClient caller;
   private final long timeoutMs;
   private final long drainTimeoutMs;
 
@@ -42,7 +42,7 @@
    * @param timeoutMs bound on each call; milliseconds
    * @param drainTimeoutMs bound on a revocation that waits for requests in flight; milliseconds
    */
-  public HttpTargetControl(HttpCaller caller, long timeoutMs, long drainTimeoutMs) {
+  public HttpTargetControl(BoundedHttpClient caller, long timeoutMs, long drainTimeoutMs) {
     this.caller = caller;
     this.timeoutMs = timeoutMs;
     this.drainTimeoutMs = drainTimeoutMs;
@@ -94,7 +94,7 @@
     return body;
   }
 
-  private static TargetReply toReply(HttpAnswer answer) {
+  private static TargetReply toReply(HttpCallResult answer) {
     TargetOutcome outcome = outcomeOf(answer);
     long highestToken =
         outcome == TargetOutcome.STALE_TOKEN ? parse(answer).path("token").asLong(0) : 0;
@@ -105,7 +105,7 @@
         highestToken);
   }
 
-  private static TargetHealth toHealth(HttpAnswer answer) {
+  private static TargetHealth toHealth(HttpCallResult answer) {
     TargetReply reply = toReply(answer);
     if (!reply.isDone()) {
       return new TargetHealth(reply, Optional.empty(), 0, 0);
@@ -124,19 +124,19 @@
         .findFirst();
   }
 
-  private static TargetOutcome outcomeOf(HttpAnswer answer) {
-    if (answer.kind() == HttpAnswer.Kind.REFUSED) {
+  private static TargetOutcome outcomeOf(HttpCallResult answer) {
+    if (answer.kind() == HttpCallResult.Kind.REFUSED) {
       return TargetOutcome.CONNECTION_REFUSED;
     }
-    if (answer.hasStatus(HttpAnswer.OK) || answer.hasStatus(HttpAnswer.NO_CONTENT)) {
+    if (answer.hasStatus(HttpCallResult.OK) || answer.hasStatus(HttpCallResult.NO_CONTENT)) {
       return TargetOutcome.DONE;
     }
-    return answer.hasStatus(HttpAnswer.CONFLICT)
+    return answer.hasStatus(HttpCallResult.CONFLICT)
         ? TargetOutcome.STALE_TOKEN
         : TargetOutcome.NO_ANSWER;
   }
 
-  private static JsonNode parse(HttpAnswer answer) {
+  private static JsonNode parse(HttpCallResult answer) {
     try {
       return JSON.readTree(answer.body());
     } catch (IOException malformed) {
@@ -144,7 +144,7 @@
     }
   }
 
-  private static long header(HttpAnswer answer, String name) {
+  private static long header(HttpCallResult answer, String name) {
     try {
       return answer.headers().contains(name) ? Long.parseLong(answer.headers().get(name)) : 0;
     } catch (NumberFormatException malformed) {
--- a/cuminvalve-ports/src/test/java/io/cuminvalve/ports/http/HttpCallerTest.java
+++ b/cuminvalve-ports/src/test/java/io/cuminvalve/ports/http/BoundedHttpClientTest.java
@@ -32,14 +32,14 @@
  * <p>Proof: below, a call waits for longer than connections may be idle: the end of another, idle
  * one tells that this time is over.
  */
-class HttpCallerTest {
+class BoundedHttpClientTest {
 
   private static final long IDLE_MS = 2_000;
   private static final long BOUND_MS = 600_000;
   private static final byte[] ANSWER =
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".getBytes(StandardCharsets.US_ASCII);
 
-  private final HttpCaller caller = new HttpCaller("test", 5_000, IDLE_MS);
+  private final BoundedHttpClient caller = new BoundedHttpClient("test", 5_000, IDLE_MS);
   private ServerSocket server;
 
   @BeforeEach
@@ -59,8 +59,8 @@
   void callsThatWereGivenUpAreTakenBack() throws IOException {
     String url = "http://127.0.0.1:" + server.getLocalPort() + "/v1/grant";
     byte[] order = "order".getBytes(StandardCharsets.US_ASCII);
-    HttpAnswer answer = caller.call("POST", url, "text/plain", order, 300).join();
-    assertThat(answer.kind()).isEqualTo(HttpAnswer.Kind.NO_ANSWER);
+    HttpCallResult answer = caller.call("POST", url, "text/plain", order, 300).join();
+    assertThat(answer.kind()).isEqualTo(HttpCallResult.Kind.NO_ANSWER);
     caller.stop();
     String arrived = "nothing";
     try (Socket late = server.accept()) {
@@ -78,10 +78,10 @@
     Thread answering = new Thread(() -> answerAll(served));
     answering.setDaemon(true);
     answering.start();
-    assertThat(callOverKnownConnection().join().kind()).isEqualTo(HttpAnswer.Kind.NOT_SENT);
+    assertThat(callOverKnownConnection().join().kind()).isEqualTo(HttpCallResult.Kind.NOT_SENT);
     assertThat(served).isEmpty();
-    assertThat(call("/first").join().kind()).isEqualTo(HttpAnswer.Kind.ANSWERED);
-    assertThat(callOverKnownConnection().join().kind()).isEqualTo(HttpAnswer.Kind.ANSWERED);
+    assertThat(call("/first").join().kind()).isEqualTo(HttpCallResult.Kind.ANSWERED);
+    assertThat(callOverKnownConnection().join().kind()).isEqualTo(HttpCallResult.Kind.ANSWERED);
     assertThat(served).hasSize(2);
   }
 
@@ -110,7 +110,7 @@
     }
   }
 
-  private CompletableFuture<HttpAnswer> callOverKnownConnection() {
+  private CompletableFuture<HttpCallResult> callOverKnownConnection() {
     String url = "http://127.0.0.1:" + server.getLocalPort() + "/known";
     return caller.callOverKnownConnection(
         "POST", url, Map.of(), "text/plain", new byte[0], BOUND_MS, () -> true);
@@ -120,10 +120,10 @@
   @Test
   void whatIsForbiddenWhenItsConnectionComesIsNotSent() throws IOException {
     String url = "http://127.0.0.1:" + server.getLocalPort() + "/late";
-    CompletableFuture<HttpAnswer> withheld =
+    CompletableFuture<HttpCallResult> withheld =
         caller.callIf("POST", url, Map.of(), "text/plain", new byte[0], BOUND_MS, () -> false);
     try (Socket connection = server.accept()) {
-      assertThat(withheld.join().kind()).isEqualTo(HttpAnswer.Kind.NOT_SENT);
+      assertThat(withheld.join().kind()).isEqualTo(HttpCallResult.Kind.NOT_SENT);
       assertThat(firstByteOf(connection)).isEqualTo(-1);
     }
   }
@@ -139,20 +139,20 @@
 
   @Test
   void callsThatWaitAreNotIdle() throws IOException {
-    final CompletableFuture<HttpAnswer> waiting = call("/wait");
+    final CompletableFuture<HttpCallResult> waiting = call("/wait");
     try (Socket waits = accept()) {
-      final CompletableFuture<HttpAnswer> answered = call("/now");
+      final CompletableFuture<HttpCallResult> answered = call("/now");
       try (Socket idle = accept()) {
         idle.getOutputStream().write(ANSWER);
-        assertThat(answered.join().kind()).isEqualTo(HttpAnswer.Kind.ANSWERED);
+        assertThat(answered.join().kind()).isEqualTo(HttpCallResult.Kind.ANSWERED);
         awaitEnd(idle.getInputStream());
       }
       waits.getOutputStream().write(ANSWER);
-      assertThat(waiting.join().kind()).isEqualTo(HttpAnswer.Kind.ANSWERED);
+      assertThat(waiting.join().kind()).isEqualTo(HttpCallResult.Kind.ANSWERED);
     }
   }
 
-  private CompletableFuture<HttpAnswer> call(String path) {
+  private CompletableFuture<HttpCallResult> call(String path) {
     return caller.call("GET", "http://127.0.0.1:" + server.getLocalPort() + path, BOUND_MS);
   }
 
--- a/cuminvalve-ports/src/test/java/io/cuminvalve/ports/store/HttpKeyValueStoreTest.java
+++ b/cuminvalve-ports/src/test/java/io/cuminvalve/ports/store/HttpKeyValueStoreTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.cuminvalve.ports.ScriptedServer;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
@@ -19,7 +19,7 @@
   private static final long IMPATIENCE_MS = 100;
   private static final byte[] VALUE = {1, 2, 3};
 
-  private final HttpCaller caller = new HttpCaller("test", PATIENCE_MS);
+  private final BoundedHttpClient caller = new BoundedHttpClient("test", PATIENCE_MS);
   private ScriptedServer server;
 
   @BeforeEach
--- a/cuminvalve-ports/src/test/java/io/cuminvalve/ports/target/HttpTargetControlTest.java
+++ b/cuminvalve-ports/src/test/java/io/cuminvalve/ports/target/HttpTargetControlTest.java
@@ -8,7 +8,7 @@
 import io.cuminvalve.ports.host.Host;
 import io.cuminvalve.ports.host.HostState;
 import io.cuminvalve.ports.host.HttpHostList;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
@@ -25,7 +25,7 @@
   private static final String HEADERS =
       "Cuminvalve-Target-Clock: 120\r\nCuminvalve-Target-Incarnation: -9\r\n";
 
-  private final HttpCaller caller = new HttpCaller("test", PATIENCE_MS);
+  private final BoundedHttpClient caller = new BoundedHttpClient("test", PATIENCE_MS);
   private final TargetControl control = new HttpTargetControl(caller, PATIENCE_MS, PATIENCE_MS);
   private ScriptedServer server;
 
--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/Router.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/Router.java
@@ -5,7 +5,7 @@
 import io.cuminvalve.kernel.ManagedService;
 import io.cuminvalve.kernel.MicroKernel;
 import io.cuminvalve.kernel.SharedKey;
-import io.cuminvalve.ports.http.HttpCaller;
+import io.cuminvalve.ports.http.BoundedHttpClient;
 import io.cuminvalve.ports.store.HttpKeyValueStore;
 import io.cuminvalve.ports.store.KeyValueStore;
 import io.cuminvalve.router.observe.TraceSink;
@@ -56,12 +56,12 @@
     this(
         settings,
         sharedKey,
-        new HttpCaller("platform", settings.traffic().connectTimeoutMs()),
+        new BoundedHttpClient("platform", settings.traffic().connectTimeoutMs()),
         trace);
   }
 
   private Router(
-      RouterSettings settings, SharedKey sharedKey, HttpCaller platform, TraceSink trace) {
+      RouterSettings settings, SharedKey sharedKey, BoundedHttpClient platform, TraceSink trace) {
     this(
         settings,
         sharedKey,
