--- a/cuminvalve-ports/src/test/java/io/cuminvalve/ports/http/BoundedHttpClientTest.java
+++ b/cuminvalve-ports/src/test/java/io/cuminvalve/ports/http/BoundedHttpClientTest.java
@@ -20,9 +20,9 @@
 /**
  * Tests the HTTP client against real sockets.
  *
- * <p>Guards against the idle timeout ending a call that still waits for its response. Jetty closes
- * connections that are idle for 30 s, and by default a connection with a waiting call counts as
- * idle. A watch with a timeout of 31.5 s on a healthy store then ended without a response after
+ * <p>Guards against the idle timeout ending a call that still waits for its response. The client
+ * closes connections that are idle for 30 s, and by default a connection with a waiting call counts
+ * as idle. A watch with a timeout of 31.5 s on a healthy store then ended without a response after
  * 30.0 s, as {@code store_lost}, although the response would have come after 30.004 s.
  */
 class BoundedHttpClientTest {
