--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/TargetSpeeds.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/TargetSpeeds.java
@@ -24,13 +24,13 @@
    * Takes a measurement.
    *
    * @param target the target; not null
-   * @param meanRelativeTime the mean time of its answers over the mean of their routes
+   * @param meanRelativeLatency the mean time of its answers over the mean of their routes
    * @param answers how many answers that was
    */
-  public void onAnswers(TargetId target, double meanRelativeTime, int answers) {
+  public void onAnswers(TargetId target, double meanRelativeLatency, int answers) {
     double weight = answers / (answers + HALF_SAMPLES);
     double before = of(target);
-    slowness.put(target, before + weight * (meanRelativeTime - before));
+    slowness.put(target, before + weight * (meanRelativeLatency - before));
   }
 
   /**
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeEffect.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeEffect.java
@@ -12,10 +12,10 @@
    *
    * @param patienceMs after which time to report that there was none; milliseconds
    */
-  record SeekSlot(long patienceMs) implements ExchangeEffect {}
+  record AcquireSlot(long patienceMs) implements ExchangeEffect {}
 
   /** Look for a slot no longer. */
-  record StopSeeking() implements ExchangeEffect {}
+  record CancelSlotRequest() implements ExchangeEffect {}
 
   /** Send the request to the target whose slot was given. */
   record Send() implements ExchangeEffect {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeMachine.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeStateMachine.java
@@ -14,7 +14,7 @@
  *
  * @since 0.2
  */
-public final class ExchangeMachine {
+public final class ExchangeStateMachine {
 
   /** How long a request may wait for a slot, as a part of the time within which it is due. */
   private static final double WAIT_SHARE = 0.25;
@@ -60,7 +60,7 @@
    * @param profile what matters of it; not null
    * @param budget takes one repeat from the shared budget, or says that there is none; not null
    */
-  public ExchangeMachine(ExchangeProfile profile, BooleanSupplier budget) {
+  public ExchangeStateMachine(ExchangeProfile profile, BooleanSupplier budget) {
     this.profile = profile;
     this.budget = budget;
   }
@@ -219,7 +219,7 @@
     }
     mayHaveRun |= sending && handedOver;
     List<ExchangeEffect> effects = new ArrayList<>();
-    effects.add(new ExchangeEffect.StopSeeking());
+    effects.add(new ExchangeEffect.CancelSlotRequest());
     effects.add(
         mayHaveRun
             ? new ExchangeEffect.GiveUp(true, "timeout")
@@ -242,7 +242,7 @@
     }
     done = true;
     List<ExchangeEffect> effects = new ArrayList<>();
-    effects.add(new ExchangeEffect.StopSeeking());
+    effects.add(new ExchangeEffect.CancelSlotRequest());
     if (sending) {
       effects.add(new ExchangeEffect.Abandon(false));
     }
@@ -280,7 +280,7 @@
   private ExchangeEffect seek(long nowMs) {
     long limitMs =
         profile.arrivedMs() + (long) (profile.latencyObjectiveMs() * WAIT_SHARE) - WAIT_RESERVE_MS;
-    return new ExchangeEffect.SeekSlot(Math.max(SAME_OWNER_PAUSE_MS, limitMs - nowMs));
+    return new ExchangeEffect.AcquireSlot(Math.max(SAME_OWNER_PAUSE_MS, limitMs - nowMs));
   }
 
   private List<ExchangeEffect> repeat(long nowMs) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseDesk.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseDesk.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.LeaseLeft;
+import io.cuminvalve.core.protocol.RemainingLease;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -99,15 +99,15 @@
    * @param leases every lease that it knows of, of any service; not null
    * @param nowMs the time; milliseconds
    */
-  public void limitForeignLeases(List<LeaseLeft> leases, long nowMs) {
+  public void limitForeignLeases(List<RemainingLease> leases, long nowMs) {
     for (HeldRange held : ranges) {
       held.limitForeign(target -> nowMs + longestLeft(leases, held.range(), target));
     }
   }
 
-  private long longestLeft(List<LeaseLeft> leases, KeyRange range, TargetId target) {
+  private long longestLeft(List<RemainingLease> leases, KeyRange range, TargetId target) {
     long leftMs = 0;
-    for (LeaseLeft lease : leases) {
+    for (RemainingLease lease : leases) {
       boolean overlaps = lease.firstKey() <= range.last() && range.first() <= lease.lastKey();
       // That holder need not have noticed which run of the target took its grants.
       boolean sameTarget = lease.target().name().equals(target.name());
@@ -124,8 +124,8 @@
    * @param nowMs the time; milliseconds
    * @return never null
    */
-  public List<LeaseLeft> leasesLeft(long nowMs) {
-    List<LeaseLeft> result = new ArrayList<>();
+  public List<RemainingLease> leasesLeft(long nowMs) {
+    List<RemainingLease> result = new ArrayList<>();
     for (HeldRange held : ranges) {
       addLeft(held.range(), held.owner(), held.ownerUntilMs() - nowMs, result);
       held.previousOwners()
@@ -134,9 +134,9 @@
     return result;
   }
 
-  private void addLeft(KeyRange range, TargetId target, long leftMs, List<LeaseLeft> result) {
+  private void addLeft(KeyRange range, TargetId target, long leftMs, List<RemainingLease> result) {
     if (leftMs > 0) {
-      result.add(new LeaseLeft(service, range.first(), range.last(), target, leftMs));
+      result.add(new RemainingLease(service, range.first(), range.last(), target, leftMs));
     }
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/ConfigurationNews.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/ConfigurationUpdate.java
@@ -12,4 +12,4 @@
  *     not null
  * @since 0.2
  */
-public record ConfigurationNews(long revision, byte[] configuration) implements FleetMessage {}
+public record ConfigurationUpdate(long revision, byte[] configuration) implements FleetMessage {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/CrashNews.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/CrashUpdate.java
@@ -11,10 +11,10 @@
  * @param reports what the sender knows; not null
  * @since 0.2
  */
-public record CrashNews(boolean complete, List<CrashReport> reports) implements FleetMessage {
+public record CrashUpdate(boolean complete, List<CrashReport> reports) implements FleetMessage {
 
   /** Copies the list. */
-  public CrashNews {
+  public CrashUpdate {
     reports = List.copyOf(reports);
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/DepartureNews.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/DepartureUpdate.java
@@ -11,11 +11,11 @@
  * @param reports what the sender knows; not null
  * @since 0.2
  */
-public record DepartureNews(boolean complete, List<DepartureReport> reports)
+public record DepartureUpdate(boolean complete, List<DepartureReport> reports)
     implements FleetMessage {
 
   /** Copies the list. */
-  public DepartureNews {
+  public DepartureUpdate {
     reports = List.copyOf(reports);
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetBeat.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetHeartbeat.java
@@ -19,7 +19,7 @@
  * @param helloSentMs when the hello that this answers was sent, by its sender's clock; milliseconds
  * @since 0.2
  */
-public record FleetBeat(
+public record FleetHeartbeat(
     long term,
     int processes,
     long registryAgeMs,
@@ -32,7 +32,7 @@
     implements FleetMessage {
 
   /** Copies the list. */
-  public FleetBeat {
+  public FleetHeartbeat {
     deputies = List.copyOf(deputies);
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetNews.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetSnapshot.java
@@ -12,7 +12,7 @@
  * @param routes the newest owners from the holder; not null
  * @since 0.2
  */
-public record FleetNews(
+public record FleetSnapshot(
     long configurationRevision,
     byte[] configuration,
     String holderAddress,
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FollowerBeat.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FollowerHeartbeat.java
@@ -11,7 +11,7 @@
  * @param helloSentMs when the hello that this answers was sent, by its sender's clock; milliseconds
  * @since 0.2
  */
-public record FollowerBeat(
+public record FollowerHeartbeat(
     long term,
     String holderAddress,
     long termAgeMs,
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/LimitNews.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/LimitUpdate.java
@@ -11,10 +11,10 @@
  * @param reports what the sender knows; not null
  * @since 0.2
  */
-public record LimitNews(boolean complete, List<LimitReport> reports) implements FleetMessage {
+public record LimitUpdate(boolean complete, List<LimitReport> reports) implements FleetMessage {
 
   /** Copies the list. */
-  public LimitNews {
+  public LimitUpdate {
     reports = List.copyOf(reports);
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/LeaseLeft.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RemainingLease.java
@@ -13,5 +13,5 @@
  * @param leftMs for how long at most; milliseconds
  * @since 0.2
  */
-public record LeaseLeft(
+public record RemainingLease(
     ServiceId service, int firstKey, int lastKey, TargetId target, long leftMs) {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetTimesReport.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetLatencyReport.java
@@ -8,10 +8,10 @@
  * @param times one entry for each target that answered; not null
  * @since 0.2
  */
-public record TargetTimesReport(List<TargetTime> times) implements FleetMessage {
+public record TargetLatencyReport(List<TargetLatency> times) implements FleetMessage {
 
   /** Copies the list. */
-  public TargetTimesReport {
+  public TargetLatencyReport {
     times = List.copyOf(times);
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/HolderEnded.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TermSuperseded.java
@@ -6,4 +6,4 @@
  * @param term the new holder's term
  * @since 0.2
  */
-public record HolderEnded(long term) implements FleetMessage {}
+public record TermSuperseded(long term) implements FleetMessage {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/CrashLedger.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/CrashTracker.java
@@ -22,7 +22,7 @@
  *
  * @since 0.2
  */
-public final class CrashLedger {
+public final class CrashTracker {
 
   /** Two may be bad luck in a bad minute; each further one costs callers a target. */
   static final int QUARANTINE_CRASHES = 3;
@@ -60,7 +60,7 @@
    * @param lateShare by which share of its length this process ends a quarantine later than the
    *     first one may; 0 to 1, another one for each process
    */
-  public CrashLedger(double lateShare) {
+  public CrashTracker(double lateShare) {
     this.lateShare = lateShare;
   }
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeInterleavingsTest.java
@@ -34,7 +34,7 @@
   private static final class World {
 
     private final Random random;
-    private final ExchangeMachine machine;
+    private final ExchangeStateMachine machine;
     private long nowMs;
     private boolean seeking;
     private boolean attempt;
@@ -47,7 +47,7 @@
     World(boolean idempotent, boolean keyed, Random random) {
       this.random = random;
       ExchangeProfile profile = new ExchangeProfile(idempotent, keyed, 2, 400, 0, 2_000);
-      this.machine = new ExchangeMachine(profile, random::nextBoolean);
+      this.machine = new ExchangeStateMachine(profile, random::nextBoolean);
       apply(machine.onStart(false, 0));
     }
 
@@ -131,9 +131,9 @@
     private void apply(List<ExchangeEffect> effects) {
       for (ExchangeEffect effect : effects) {
         finals += effect.isFinal() ? 1 : 0;
-        if (effect instanceof ExchangeEffect.SeekSlot) {
+        if (effect instanceof ExchangeEffect.AcquireSlot) {
           seeking = true;
-        } else if (effect instanceof ExchangeEffect.StopSeeking) {
+        } else if (effect instanceof ExchangeEffect.CancelSlotRequest) {
           seeking = false;
         } else if (effect instanceof ExchangeEffect.Send) {
           attempt = true;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeMachineTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeStateMachineTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ExchangeMachineTest {
+class ExchangeStateMachineTest {
 
   private static final long DEADLINE_MS = 1_000;
 
@@ -13,19 +13,19 @@
 
   @Test
   void theAnswerIsRelayed() {
-    ExchangeMachine machine = machine(false, true);
-    assertThat(machine.onStart(false, 0)).containsExactly(new ExchangeEffect.SeekSlot(70));
+    ExchangeStateMachine machine = machine(false, true);
+    assertThat(machine.onStart(false, 0)).containsExactly(new ExchangeEffect.AcquireSlot(70));
     assertThat(machine.onSlot()).containsExactly(new ExchangeEffect.Send());
     assertThat(machine.onAnswer(200, 100)).containsExactly(new ExchangeEffect.Relay(false));
   }
 
   @Test
   void whoFindsNoSlotIsToldWhenToComeBack() {
-    ExchangeMachine machine = machine(true, true);
+    ExchangeStateMachine machine = machine(true, true);
     machine.onStart(false, 0);
     assertThat(machine.onNoSlot("owner_busy"))
         .containsExactly(new ExchangeEffect.Refuse(500, "owner_busy"));
-    ExchangeMachine other = machine(true, true);
+    ExchangeStateMachine other = machine(true, true);
     other.onStart(false, 0);
     assertThat(other.onNoSlot("key_on_the_move"))
         .containsExactly(new ExchangeEffect.Refuse(250, "key_on_the_move"));
@@ -39,22 +39,22 @@
 
   @Test
   void whatMayHaveRunRunsAgainOnlyIfIdempotent() {
-    ExchangeMachine once = sent(false, false);
+    ExchangeStateMachine once = sent(false, false);
     assertThat(once.onFailure(true, "reset", 50))
         .containsExactly(new ExchangeEffect.GiveUp(false, "reset"));
-    ExchangeMachine often = sent(true, false);
+    ExchangeStateMachine often = sent(true, false);
     assertThat(often.onFailure(true, "reset", 50))
-        .containsExactly(new ExchangeEffect.AvoidTarget(), new ExchangeEffect.SeekSlot(40))
+        .containsExactly(new ExchangeEffect.AvoidTarget(), new ExchangeEffect.AcquireSlot(40))
         .inOrder();
   }
 
   @Test
   void whatIsInQuarantineIsRefusedOnlyIfItHasNotRun() {
-    ExchangeMachine fresh = machine(true, true);
+    ExchangeStateMachine fresh = machine(true, true);
     assertThat(fresh.onQuarantined(30_000))
         .containsExactly(new ExchangeEffect.Refuse(30_000, "quarantined"));
     assertThat(fresh.onQuarantined(30_000)).isEmpty();
-    ExchangeMachine broken = sent(true, true);
+    ExchangeStateMachine broken = sent(true, true);
     broken.onFailure(true, "reset", 10);
     assertThat(broken.onQuarantined(30_000))
         .containsExactly(new ExchangeEffect.GiveUp(false, "quarantined"));
@@ -62,7 +62,7 @@
 
   @Test
   void itRunsOnNoMoreTargetsThanAllowed() {
-    ExchangeMachine machine = sent(true, false);
+    ExchangeStateMachine machine = sent(true, false);
     machine.onFailure(true, "reset", 10);
     machine.onSlot();
     assertThat(machine.onFailure(true, "reset", 20))
@@ -72,9 +72,10 @@
 
   @Test
   void proofsThatItDidNotRunAllowAnotherTarget() {
-    ExchangeMachine machine = sent(false, true);
+    ExchangeStateMachine machine = sent(false, true);
     assertThat(machine.onNotExecuted(10))
-        .containsExactly(new ExchangeEffect.AwaitNewerOwners(40), new ExchangeEffect.SeekSlot(60))
+        .containsExactly(
+            new ExchangeEffect.AwaitNewerOwners(40), new ExchangeEffect.AcquireSlot(60))
         .inOrder();
     machine.onSlot();
     assertThat(machine.onAnswer(200, 90)).containsExactly(new ExchangeEffect.Relay(false));
@@ -82,7 +83,7 @@
 
   @Test
   void manyProofsEndIt() {
-    ExchangeMachine machine = sent(false, true);
+    ExchangeStateMachine machine = sent(false, true);
     for (int i = 0; i < 3; i++) {
       assertThat(machine.onNotExecuted(10)).hasSize(2);
       machine.onSlot();
@@ -124,27 +125,28 @@
   void atTheDeadlineTheAnswerGoesOutAtOnce() {
     assertThat(sent(true, true).onDeadline(true))
         .containsExactly(
-            new ExchangeEffect.StopSeeking(),
+            new ExchangeEffect.CancelSlotRequest(),
             new ExchangeEffect.GiveUp(true, "timeout"),
             new ExchangeEffect.Abandon(true))
         .inOrder();
     assertThat(sent(true, true).onDeadline(false))
         .containsExactly(
-            new ExchangeEffect.StopSeeking(),
+            new ExchangeEffect.CancelSlotRequest(),
             new ExchangeEffect.Refuse(250, "timeout_unsent"),
             new ExchangeEffect.Abandon(true))
         .inOrder();
-    ExchangeMachine waiting = machine(true, true);
+    ExchangeStateMachine waiting = machine(true, true);
     waiting.onStart(false, 0);
     assertThat(waiting.onDeadline(false))
         .containsExactly(
-            new ExchangeEffect.StopSeeking(), new ExchangeEffect.Refuse(250, "timeout_unsent"))
+            new ExchangeEffect.CancelSlotRequest(),
+            new ExchangeEffect.Refuse(250, "timeout_unsent"))
         .inOrder();
   }
 
   @Test
   void theDeadlineDoesNotForgetAnEarlierRun() {
-    ExchangeMachine machine = sent(true, false);
+    ExchangeStateMachine machine = sent(true, false);
     machine.onFailure(true, "reset", 10);
     assertThat(machine.onDeadline(false)).contains(new ExchangeEffect.GiveUp(true, "timeout"));
   }
@@ -153,7 +155,7 @@
   void theCallerThatLeavesEndsTheAttempt() {
     assertThat(sent(true, true).onCallerGone())
         .containsExactly(
-            new ExchangeEffect.StopSeeking(),
+            new ExchangeEffect.CancelSlotRequest(),
             new ExchangeEffect.Abandon(false),
             new ExchangeEffect.Drop())
         .inOrder();
@@ -162,9 +164,9 @@
   /** The close of a caller may be found while its request is about to begin. */
   @Test
   void theCallerThatLeavesBeforeTheBeginningEndsTheRequest() {
-    ExchangeMachine machine = machine(true, true);
+    ExchangeStateMachine machine = machine(true, true);
     assertThat(machine.onCallerGone())
-        .containsExactly(new ExchangeEffect.StopSeeking(), new ExchangeEffect.Drop())
+        .containsExactly(new ExchangeEffect.CancelSlotRequest(), new ExchangeEffect.Drop())
         .inOrder();
     assertThat(machine.onStart(false, 0)).isEmpty();
     assertThat(machine.onStart(true, 0)).isEmpty();
@@ -172,7 +174,7 @@
 
   @Test
   void nothingFollowsTheFinalAnswer() {
-    ExchangeMachine machine = sent(true, true);
+    ExchangeStateMachine machine = sent(true, true);
     machine.onDeadline(true);
     assertThat(machine.onAnswer(200, 2_000)).isEmpty();
     assertThat(machine.onNotExecuted(2_000)).isEmpty();
@@ -183,16 +185,16 @@
     assertThat(machine.onSlot()).containsExactly(new ExchangeEffect.ReturnSlot());
   }
 
-  private ExchangeMachine sent(boolean idempotent, boolean keyed) {
-    ExchangeMachine machine = machine(idempotent, keyed);
+  private ExchangeStateMachine sent(boolean idempotent, boolean keyed) {
+    ExchangeStateMachine machine = machine(idempotent, keyed);
     machine.onStart(false, 0);
     List<ExchangeEffect> effects = machine.onSlot();
     assertThat(effects).containsExactly(new ExchangeEffect.Send());
     return machine;
   }
 
-  private ExchangeMachine machine(boolean idempotent, boolean keyed) {
+  private ExchangeStateMachine machine(boolean idempotent, boolean keyed) {
     ExchangeProfile profile = new ExchangeProfile(idempotent, keyed, 2, 400, 0, DEADLINE_MS);
-    return new ExchangeMachine(profile, () -> budget-- > 0);
+    return new ExchangeStateMachine(profile, () -> budget-- > 0);
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/quarantine/CrashLedgerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/quarantine/CrashTrackerTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Which requests are at fault when targets end, and which were merely there. */
-class CrashLedgerTest {
+class CrashTrackerTest {
 
   private static final RequestFingerprint CONTENT = new RequestFingerprint(7);
   private static final RequestFingerprint CALLER = CONTENT.by("10.0.0.1");
   private static final RequestFingerprint OTHER_CALLER = CONTENT.by("10.0.0.2");
   private static final long RUN_MS = 50;
 
-  private final CrashLedger ledger = new CrashLedger(0);
+  private final CrashTracker ledger = new CrashTracker(0);
   private int targets;
 
   @Test
@@ -29,7 +29,7 @@
     assertThat(ledger.quarantinedUntilMs(5_000)).isEmpty();
     crash(CALLER, CALLER, 8_000);
     assertThat(ledger.quarantinedUntilMs(9_000))
-        .containsExactly(CALLER, 8_000 + CrashLedger.FIRST_QUARANTINE_MS);
+        .containsExactly(CALLER, 8_000 + CrashTracker.FIRST_QUARANTINE_MS);
   }
 
   @Test
@@ -92,7 +92,7 @@
   void crashesFarApartAreForgotten() {
     crash(CALLER, CALLER, 1_000);
     crash(CALLER, CALLER, 2_000);
-    long laterMs = 2_001 + CrashLedger.SUSPICION_MS;
+    long laterMs = 2_001 + CrashTracker.SUSPICION_MS;
     assertThat(ledger.watched(laterMs)).isEmpty();
     crash(CALLER, CALLER, laterMs + 100);
     assertThat(ledger.watched(laterMs + 100)).isEmpty();
@@ -101,10 +101,10 @@
   @Test
   void oneCrashOnProbationBeginsLongerQuarantine() {
     convict(CALLER);
-    long trialMs = 3_000 + CrashLedger.FIRST_QUARANTINE_MS + 500;
+    long trialMs = 3_000 + CrashTracker.FIRST_QUARANTINE_MS + 500;
     crash(CALLER, CALLER, trialMs);
     assertThat(ledger.quarantinedUntilMs(trialMs).get(CALLER))
-        .isEqualTo(trialMs + 4 * CrashLedger.FIRST_QUARANTINE_MS);
+        .isEqualTo(trialMs + 4 * CrashTracker.FIRST_QUARANTINE_MS);
   }
 
   @Test
@@ -114,13 +114,13 @@
       crash(OTHER_CALLER, OTHER_CALLER, i * 1_000L);
     }
     assertThat(ledger.quarantinedUntilMs(12_000).get(OTHER_CALLER))
-        .isEqualTo(11_000 + CrashLedger.LONGEST_QUARANTINE_MS);
+        .isEqualTo(11_000 + CrashTracker.LONGEST_QUARANTINE_MS);
   }
 
   @Test
   void whatIsOverIsForgotten() {
     convict(CALLER);
-    long laterMs = 3_001 + CrashLedger.PROBATION_MS;
+    long laterMs = 3_001 + CrashTracker.PROBATION_MS;
     assertThat(ledger.quarantinedUntilMs(laterMs)).isEmpty();
     assertThat(ledger.crashesOf(CALLER)).isEmpty();
   }
@@ -138,7 +138,7 @@
     for (int i = 0; i < 20_000; i++) {
       known += ledger.crashesOf(new RequestFingerprint(1_000 + i)).size();
     }
-    assertThat(known).isLessThan(CrashLedger.MOST_REQUESTS);
+    assertThat(known).isLessThan(CrashTracker.MOST_REQUESTS);
     assertThat(ledger.quarantinedUntilMs(10_000)).containsKey(CALLER);
   }
 
@@ -148,18 +148,18 @@
       Random random = new Random(seed);
       List<CrashReport> reports = new ArrayList<>();
       for (int i = 0; i < 6; i++) {
-        CrashLedger witness = new CrashLedger(0);
+        CrashTracker witness = new CrashTracker(0);
         report(witness, random, i);
         reports.addAll(witness.reports(List.of(CALLER), 20_000));
       }
-      CrashLedger one = merged(reports, random);
-      CrashLedger two = merged(reports, random);
+      CrashTracker one = merged(reports, random);
+      CrashTracker two = merged(reports, random);
       assertThat(one.quarantinedUntilMs(20_000)).isEqualTo(two.quarantinedUntilMs(20_000));
       assertThat(one.watched(20_000)).isEqualTo(two.watched(20_000));
     }
   }
 
-  private static void report(CrashLedger witness, Random random, int number) {
+  private static void report(CrashTracker witness, Random random, int number) {
     long endedMs = 1_000 + random.nextInt(18_000);
     CrashedRun run =
         new CrashedRun(new TargetId("core-" + number), CALLER, endedMs - RUN_MS, endedMs);
@@ -169,11 +169,11 @@
     }
   }
 
-  private static CrashLedger merged(List<CrashReport> reports, Random random) {
+  private static CrashTracker merged(List<CrashReport> reports, Random random) {
     List<CrashReport> shuffled = new ArrayList<>(reports);
     shuffled.addAll(reports);
     Collections.shuffle(shuffled, random);
-    CrashLedger ledger = new CrashLedger(0);
+    CrashTracker ledger = new CrashTracker(0);
     shuffled.forEach(report -> ledger.merge(report, 20_000));
     return ledger;
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashArchive.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashArchive.java
@@ -1,6 +1,6 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.CrashNews;
+import io.cuminvalve.core.protocol.CrashUpdate;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import io.cuminvalve.kernel.CodedException;
@@ -32,8 +32,8 @@
   private final ControlThread control;
   private final DecisionLog log;
   private final RecordCodec codec;
-  private final Consumer<CrashNews> onRead;
-  private Optional<CrashNews> unwritten = Optional.empty();
+  private final Consumer<CrashUpdate> onRead;
+  private Optional<CrashUpdate> unwritten = Optional.empty();
   private long revision;
   private boolean open;
   private boolean busy;
@@ -43,7 +43,7 @@
       ControlThread control,
       DecisionLog log,
       RecordCodec codec,
-      Consumer<CrashNews> onRead) {
+      Consumer<CrashUpdate> onRead) {
     this.store = store;
     this.control = control;
     this.log = log;
@@ -66,7 +66,7 @@
   }
 
   /** Replaces what is stored, as soon as the store takes it. */
-  void keep(CrashNews quarantined) {
+  void keep(CrashUpdate quarantined) {
     if (open) {
       unwritten = Optional.of(quarantined);
       writeNext();
@@ -95,7 +95,7 @@
   private void decode(StoreValue value) {
     try {
       PeerMessage stored = codec.decodeMessage(value.value());
-      if (stored instanceof CrashNews news) {
+      if (stored instanceof CrashUpdate news) {
         onRead.accept(news);
       }
     } catch (CodedException unreadable) {
@@ -107,14 +107,14 @@
     if (!open || busy || unwritten.isEmpty()) {
       return;
     }
-    CrashNews next = unwritten.get();
+    CrashUpdate next = unwritten.get();
     busy = true;
     store
         .write(KEY, codec.encodeMessage(next), revision, Optional.empty())
         .thenAcceptAsync(result -> onWritten(result, next), control);
   }
 
-  private void onWritten(WriteResult result, CrashNews written) {
+  private void onWritten(WriteResult result, CrashUpdate written) {
     busy = false;
     if (!open) {
       return;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashDesk.java
@@ -1,11 +1,11 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.CrashNews;
+import io.cuminvalve.core.protocol.CrashUpdate;
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.core.protocol.TrialPermit;
 import io.cuminvalve.core.protocol.TrialRequest;
-import io.cuminvalve.core.quarantine.CrashLedger;
 import io.cuminvalve.core.quarantine.CrashReport;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.core.quarantine.CrashedRun;
 import io.cuminvalve.core.quarantine.RequestFingerprint;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -32,7 +32,7 @@
  * and its deputies hear of every crash, everybody of requests under which two targets ended, by a
  * {@link NewsExchange}. For the control thread.
  */
-final class CrashDesk implements NewsExchange.Knowledge<CrashNews> {
+final class CrashDesk implements NewsExchange.Knowledge<CrashUpdate> {
 
   /** Whom a gateway tells. */
   interface Audience extends FleetAudience {
@@ -41,7 +41,7 @@
     boolean isHolder();
 
     /** Keeps, as the holder, what is in quarantine for a fleet that is lost whole. */
-    void keep(CrashNews quarantined);
+    void keep(CrashUpdate quarantined);
   }
 
   /** Seen by this gateway itself and kept for a holder to come; the oldest go first. */
@@ -50,10 +50,10 @@
   /** A permit is used within a second, and half a second later everybody knows how it went. */
   private static final long TRIAL_MS = 1_500;
 
-  private final CrashLedger ledger;
+  private final CrashTracker ledger;
   private final RequestQuarantine quarantine;
   private final Audience audience;
-  private final NewsExchange<CrashNews> exchange;
+  private final NewsExchange<CrashUpdate> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
   private final Set<RequestFingerprint> seen = new LinkedHashSet<>();
@@ -64,7 +64,7 @@
   private final Map<RequestFingerprint, Integer> crashCounts = new HashMap<>();
 
   CrashDesk(
-      CrashLedger ledger,
+      CrashTracker ledger,
       RequestQuarantine quarantine,
       Audience audience,
       MillisClock clock,
@@ -112,7 +112,7 @@
   }
 
   /** Another process tells what it knows. */
-  void onNews(CrashNews news, Consumer<FleetMessage> sender) {
+  void onNews(CrashUpdate news, Consumer<FleetMessage> sender) {
     long nowMs = clock.nowMs();
     Set<RequestFingerprint> heard = new LinkedHashSet<>();
     for (CrashReport report : news.reports()) {
@@ -127,7 +127,7 @@
   }
 
   @Override
-  public Optional<CrashNews> lackedBy(CrashNews told) {
+  public Optional<CrashUpdate> lackedBy(CrashUpdate told) {
     Set<RequestFingerprint> lacking = new HashSet<>(watched);
     for (CrashReport report : told.reports()) {
       RequestFingerprint fingerprint = report.fingerprint();
@@ -140,7 +140,7 @@
     }
     return lacking.isEmpty()
         ? Optional.empty()
-        : Optional.of(new CrashNews(false, ledger.reports(lacking, clock.nowMs())));
+        : Optional.of(new CrashUpdate(false, ledger.reports(lacking, clock.nowMs())));
   }
 
   /** This gateway has a request that is watched. */
@@ -174,8 +174,8 @@
   }
 
   @Override
-  public CrashNews complete() {
-    return new CrashNews(true, ledger.reports(watched, clock.nowMs()));
+  public CrashUpdate complete() {
+    return new CrashUpdate(true, ledger.reports(watched, clock.nowMs()));
   }
 
   /** Returns what this process knows of requests that it watches, in short; 0 if of none. */
@@ -193,7 +193,7 @@
   void onConfidants(Optional<String> holderAddress, Collection<String> deputies) {
     Set<String> added = exchange.onConfidants(holderAddress, deputies);
     if (!added.isEmpty() && !seen.isEmpty()) {
-      CrashNews all = new CrashNews(false, ledger.reports(seen, clock.nowMs()));
+      CrashUpdate all = new CrashUpdate(false, ledger.reports(seen, clock.nowMs()));
       added.forEach(address -> audience.tell(address, all));
     }
   }
@@ -222,25 +222,25 @@
     long digest = refused.keySet().stream().mapToLong(this::digestOf).sum();
     if (digest != keptDigest) {
       keptDigest = digest;
-      audience.keep(new CrashNews(false, ledger.reports(refused.keySet(), clock.nowMs())));
+      audience.keep(new CrashUpdate(false, ledger.reports(refused.keySet(), clock.nowMs())));
     }
   }
 
   /** This process holds the term now, and this is what the holder before it kept. */
-  void onStored(CrashNews stored) {
+  void onStored(CrashUpdate stored) {
     onNews(stored, message -> {});
     keepQuarantined();
   }
 
   private void tellConfidants(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      exchange.tellConfidants(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
+      exchange.tellConfidants(new CrashUpdate(false, ledger.reports(changed, clock.nowMs())));
     }
   }
 
   private void tellAll(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      audience.tellAll(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
+      audience.tellAll(new CrashUpdate(false, ledger.reports(changed, clock.nowMs())));
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
@@ -1,11 +1,11 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.CrashNews;
+import io.cuminvalve.core.protocol.CrashUpdate;
 import io.cuminvalve.core.protocol.FleetHello;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.core.protocol.TrialPermit;
 import io.cuminvalve.core.protocol.TrialRequest;
-import io.cuminvalve.core.quarantine.CrashLedger;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import io.cuminvalve.gateway.traffic.TrafficReports;
 import io.cuminvalve.kernel.ControlThread;
@@ -38,7 +38,7 @@
       MillisClock clock,
       DecisionLog log,
       TrafficReports reports,
-      CrashLedger ledger) {
+      CrashTracker ledger) {
     super(network, subscribers);
     this.control = control;
     this.reports = reports;
@@ -79,7 +79,7 @@
 
   /** Takes a message, if it is about requests under which targets end. */
   void onMessage(PeerChannel sender, PeerMessage message) {
-    if (message instanceof CrashNews news) {
+    if (message instanceof CrashUpdate news) {
       desk.onNews(news, sender::send);
     } else if (message instanceof TrialRequest request) {
       desk.onTrialRequest(request.fingerprint(), sender::send);
@@ -99,7 +99,7 @@
   }
 
   @Override
-  public void keep(CrashNews quarantined) {
+  public void keep(CrashUpdate quarantined) {
     archive.keep(quarantined);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureDesk.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.core.fleet.DepartureLedger;
 import io.cuminvalve.core.fleet.DepartureReport;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.DepartureNews;
+import io.cuminvalve.core.protocol.DepartureUpdate;
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import io.cuminvalve.kernel.MillisClock;
@@ -21,11 +21,11 @@
  * <p>The first gateway that hears it tells all others by a {@link NewsExchange}: the registry may
  * tell it much later, or never. For the control thread.
  */
-final class DepartureDesk implements NewsExchange.Knowledge<DepartureNews> {
+final class DepartureDesk implements NewsExchange.Knowledge<DepartureUpdate> {
 
   private final DepartureLedger ledger = new DepartureLedger();
   private final FleetAudience audience;
-  private final NewsExchange<DepartureNews> exchange;
+  private final NewsExchange<DepartureUpdate> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
   private final Consumer<Set<TargetId>> onChange;
@@ -60,7 +60,7 @@
   }
 
   /** Another process tells what it knows. */
-  void onNews(DepartureNews news, Consumer<FleetMessage> sender) {
+  void onNews(DepartureUpdate news, Consumer<FleetMessage> sender) {
     Set<TargetId> heard = new HashSet<>();
     for (DepartureReport report : news.reports()) {
       if (ledger.merge(report, clock.nowMs())) {
@@ -82,8 +82,8 @@
     audience.tellAll(newsOf(changed));
   }
 
-  private DepartureNews newsOf(Collection<TargetId> targets) {
-    return new DepartureNews(false, ledger.reports(targets, clock.nowMs()));
+  private DepartureUpdate newsOf(Collection<TargetId> targets) {
+    return new DepartureUpdate(false, ledger.reports(targets, clock.nowMs()));
   }
 
   /** Another process says hello, and in short which departures it knows. */
@@ -109,12 +109,12 @@
   }
 
   @Override
-  public DepartureNews complete() {
-    return new DepartureNews(true, ledger.reports(ledger.targets(), clock.nowMs()));
+  public DepartureUpdate complete() {
+    return new DepartureUpdate(true, ledger.reports(ledger.targets(), clock.nowMs()));
   }
 
   @Override
-  public Optional<DepartureNews> lackedBy(DepartureNews told) {
+  public Optional<DepartureUpdate> lackedBy(DepartureUpdate told) {
     Set<TargetId> lacking = new HashSet<>(ledger.targets());
     told.reports().forEach(report -> lacking.remove(report.target()));
     return lacking.isEmpty() ? Optional.empty() : Optional.of(newsOf(lacking));
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.control;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.DepartureNews;
+import io.cuminvalve.core.protocol.DepartureUpdate;
 import io.cuminvalve.core.protocol.FleetHello;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -64,7 +64,7 @@
 
   /** Takes a message, if it is about departures. */
   void onMessage(PeerChannel sender, PeerMessage message) {
-    if (message instanceof DepartureNews news) {
+    if (message instanceof DepartureUpdate news) {
       desk.onNews(news, sender::send);
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.LeaseLeft;
-import io.cuminvalve.core.protocol.LeasesLeft;
+import io.cuminvalve.core.protocol.RemainingLease;
+import io.cuminvalve.core.protocol.RemainingLeases;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -15,16 +15,16 @@
  */
 final class EarlierLeases {
 
-  private Memory own = new Memory(new LeasesLeft(0, List.of()), 0);
+  private Memory own = new Memory(new RemainingLeases(0, List.of()), 0);
   private Memory heard = own;
 
   /** A term of this process is over. */
-  void onOwnTermEnded(LeasesLeft left, long nowMs) {
+  void onOwnTermEnded(RemainingLeases left, long nowMs) {
     own = new Memory(left, nowMs);
   }
 
   /** Another process told what it, or a holder before it, left behind. */
-  void onHeard(LeasesLeft left, long nowMs) {
+  void onHeard(RemainingLeases left, long nowMs) {
     if (left.term() > heard.left().term()) {
       heard = new Memory(left, nowMs);
     }
@@ -36,7 +36,7 @@
   }
 
   /** Returns what the newest term known left behind, with what is left of each lease by now. */
-  Optional<LeasesLeft> leftBefore(long term, long nowMs) {
+  Optional<RemainingLeases> leftBefore(long term, long nowMs) {
     Memory newest = own.left().term() > heard.left().term() ? own : heard;
     if (newest.left().term() == 0 || newest.left().term() >= term) {
       return Optional.empty();
@@ -50,15 +50,15 @@
    * @param left the leases; not null
    * @param toldMs the moment; milliseconds
    */
-  record Memory(LeasesLeft left, long toldMs) {
+  record Memory(RemainingLeases left, long toldMs) {
 
-    private LeasesLeft at(long nowMs) {
+    private RemainingLeases at(long nowMs) {
       long pastMs = nowMs - toldMs;
-      List<LeaseLeft> running = new ArrayList<>();
-      for (LeaseLeft lease : left.leases()) {
+      List<RemainingLease> running = new ArrayList<>();
+      for (RemainingLease lease : left.leases()) {
         if (lease.leftMs() > pastMs) {
           running.add(
-              new LeaseLeft(
+              new RemainingLease(
                   lease.service(),
                   lease.firstKey(),
                   lease.lastKey(),
@@ -66,7 +66,7 @@
                   lease.leftMs() - pastMs));
         }
       }
-      return new LeasesLeft(left.term(), running);
+      return new RemainingLeases(left.term(), running);
     }
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetControl.java
@@ -2,7 +2,7 @@
 
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.protocol.PeerMessage;
-import io.cuminvalve.core.quarantine.CrashLedger;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.gateway.GatewayPorts;
 import io.cuminvalve.gateway.GatewaySettings;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -133,7 +133,7 @@
             this::onReplaced,
             new LeasedTerm(),
             deputies,
-            new CrashLedger(random.nextDouble()));
+            new CrashTracker(random.nextDouble()));
     this.termLease =
         new TermLease(
             ports.store(),
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -3,26 +3,26 @@
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.ConfigurationNews;
-import io.cuminvalve.core.protocol.FleetBeat;
+import io.cuminvalve.core.protocol.ConfigurationUpdate;
+import io.cuminvalve.core.protocol.FleetHeartbeat;
 import io.cuminvalve.core.protocol.FleetHello;
 import io.cuminvalve.core.protocol.FleetMessage;
-import io.cuminvalve.core.protocol.FleetNews;
-import io.cuminvalve.core.protocol.FollowerBeat;
-import io.cuminvalve.core.protocol.HolderEnded;
+import io.cuminvalve.core.protocol.FleetSnapshot;
+import io.cuminvalve.core.protocol.FollowerHeartbeat;
 import io.cuminvalve.core.protocol.KeyLoadReport;
-import io.cuminvalve.core.protocol.LeasesLeft;
 import io.cuminvalve.core.protocol.PeerMessage;
+import io.cuminvalve.core.protocol.RemainingLeases;
 import io.cuminvalve.core.protocol.RoutesChange;
 import io.cuminvalve.core.protocol.RoutesPush;
 import io.cuminvalve.core.protocol.ServiceRanges;
+import io.cuminvalve.core.protocol.TargetLatencyReport;
 import io.cuminvalve.core.protocol.TargetReplaced;
 import io.cuminvalve.core.protocol.TargetRest;
 import io.cuminvalve.core.protocol.TargetRestsReport;
-import io.cuminvalve.core.protocol.TargetTimesReport;
 import io.cuminvalve.core.protocol.TargetsChange;
 import io.cuminvalve.core.protocol.TargetsPush;
-import io.cuminvalve.core.quarantine.CrashLedger;
+import io.cuminvalve.core.protocol.TermSuperseded;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.gateway.GatewayPorts;
 import io.cuminvalve.gateway.GatewaySettings;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -144,7 +144,7 @@
       Runnable onReplaced,
       TermKnowledge terms,
       Deputies deputies,
-      CrashLedger ledger) {
+      CrashTracker ledger) {
     this.network = network;
     this.state = state;
     this.control = control;
@@ -244,22 +244,22 @@
   void onMessage(PeerChannel sender, PeerMessage message) {
     if (message instanceof FleetHello hello) {
       onHello(sender, hello);
-    } else if (message instanceof FleetNews news) {
+    } else if (message instanceof FleetSnapshot news) {
       onNews(news);
-    } else if (message instanceof HolderEnded ended) {
+    } else if (message instanceof TermSuperseded ended) {
       inheritance.onHolderEnded(sender, ended);
-    } else if (message instanceof LeasesLeft left) {
+    } else if (message instanceof RemainingLeases left) {
       inheritance.onLeasesLeft(left);
     } else if (message instanceof KeyLoadReport
-        || message instanceof TargetTimesReport
+        || message instanceof TargetLatencyReport
         || message instanceof TargetReplaced
         || message instanceof TargetRestsReport) {
       duties.ifPresent(d -> d.onReport(message));
-    } else if (message instanceof FleetBeat beat) {
+    } else if (message instanceof FleetHeartbeat beat) {
       onBeat(sender, beat);
-    } else if (message instanceof FollowerBeat beat) {
+    } else if (message instanceof FollowerHeartbeat beat) {
       onFollowerBeat(beat);
-    } else if (message instanceof ConfigurationNews news) {
+    } else if (message instanceof ConfigurationUpdate news) {
       onConfigurationNews(news);
     } else if (message instanceof TargetsPush push) {
       onTargetsPush(push);
@@ -353,7 +353,7 @@
     }
   }
 
-  private void onFollowerBeat(FollowerBeat beat) {
+  private void onFollowerBeat(FollowerHeartbeat beat) {
     if (duties.isPresent()) {
       return;
     }
@@ -421,7 +421,7 @@
    * Takes the holder's answer to a hello. How long it was under way is not known: it is as new as
    * the hello.
    */
-  private void onBeat(PeerChannel holder, FleetBeat beat) {
+  private void onBeat(PeerChannel holder, FleetHeartbeat beat) {
     UpperTime asked = new UpperTime(beat.helloSentMs());
     UpperTime confirmed = asked.minusMs(beat.termAgeMs());
     if (duties.isPresent() || !terms.onHeard(beat.term(), holder.peerAddress(), confirmed)) {
@@ -450,7 +450,7 @@
    * The holder's word confirms only the targets that it has told. A gateway that looks itself
    * follows the holder again once that knows nearly as much.
    */
-  private void confirmTargets(FleetBeat beat, UpperTime asked) {
+  private void confirmTargets(FleetHeartbeat beat, UpperTime asked) {
     TargetsPush told = view.targets();
     boolean current = told.term() == beat.term() && told.version() >= beat.targetsVersion();
     if (!current) {
@@ -516,7 +516,7 @@
   private void tellNews(PeerChannel sender) {
     StoreValue known = configuration.newest().orElse(new StoreValue(new byte[0], 0));
     sender.send(
-        new FleetNews(
+        new FleetSnapshot(
             known.revision(),
             known.value(),
             duties.isPresent() ? network.localAddress() : holderAddress.orElse(""),
@@ -532,11 +532,11 @@
   /** The configuration changed: whoever does not hear of it from the store looks again at once. */
   void tellConfiguration(long revision) {
     if (duties.isPresent()) {
-      subscribers.tell(new ConfigurationNews(revision, new byte[0]));
+      subscribers.tell(new ConfigurationUpdate(revision, new byte[0]));
     }
   }
 
-  private void onConfigurationNews(ConfigurationNews news) {
+  private void onConfigurationNews(ConfigurationUpdate news) {
     if (news.configuration().length > 0) {
       configuration.onNews(new StoreValue(news.configuration(), news.revision()));
     } else {
@@ -544,7 +544,7 @@
     }
   }
 
-  private void onNews(FleetNews news) {
+  private void onNews(FleetSnapshot news) {
     if (news.configuration().length > 0) {
       configuration.onNews(new StoreValue(news.configuration(), news.configurationRevision()));
     }
@@ -566,7 +566,7 @@
       answerAsHolder(sender, hello, duties.get());
     } else {
       sender.send(
-          new FollowerBeat(
+          new FollowerHeartbeat(
               terms.newest(),
               holderAddress.orElse(""),
               terms.ageMs(),
@@ -579,13 +579,13 @@
     departures.onHello(sender, hello);
     configuration
         .lackedBy(hello.configurationRevision())
-        .ifPresent(value -> sender.send(new ConfigurationNews(value.revision(), value.value())));
+        .ifPresent(value -> sender.send(new ConfigurationUpdate(value.revision(), value.value())));
   }
 
   private void answerAsHolder(PeerChannel sender, FleetHello hello, HolderDuties holder) {
     subscribers.onHello(sender, hello, holder.term(), view, clock.nowMs());
     sender.send(
-        new FleetBeat(
+        new FleetHeartbeat(
             holder.term(),
             subscribers.count() + 1,
             clock.upper().sinceMs(holder.targetsConfirmed()),
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/HolderDuties.java
@@ -10,14 +10,14 @@
 import io.cuminvalve.core.lease.OwnershipTable;
 import io.cuminvalve.core.lease.TargetAddress;
 import io.cuminvalve.core.protocol.KeyLoadReport;
-import io.cuminvalve.core.protocol.LeaseLeft;
-import io.cuminvalve.core.protocol.LeasesLeft;
 import io.cuminvalve.core.protocol.PeerMessage;
+import io.cuminvalve.core.protocol.RemainingLease;
+import io.cuminvalve.core.protocol.RemainingLeases;
 import io.cuminvalve.core.protocol.ServiceRanges;
+import io.cuminvalve.core.protocol.TargetLatency;
+import io.cuminvalve.core.protocol.TargetLatencyReport;
 import io.cuminvalve.core.protocol.TargetReplaced;
 import io.cuminvalve.core.protocol.TargetRestsReport;
-import io.cuminvalve.core.protocol.TargetTime;
-import io.cuminvalve.core.protocol.TargetTimesReport;
 import io.cuminvalve.core.route.RoutingConfiguration;
 import io.cuminvalve.core.route.ServiceProfile;
 import io.cuminvalve.gateway.GatewayPorts;
@@ -105,7 +105,7 @@
   private boolean storedMayBeOld;
   private long idleUntilMs = Long.MIN_VALUE;
   private Optional<Runnable> onRewritten = Optional.empty();
-  private Optional<LeasesLeft> foreignLeases = Optional.empty();
+  private Optional<RemainingLeases> foreignLeases = Optional.empty();
   private long foreignToldMs;
   private boolean ready;
   private long tokenCount;
@@ -205,7 +205,7 @@
       if (service != null) {
         service.onKeyWork(work);
       }
-    } else if (report instanceof TargetTimesReport times) {
+    } else if (report instanceof TargetLatencyReport times) {
       times.times().forEach(this::onTargetTime);
     } else if (report instanceof TargetReplaced replaced) {
       onReplacedTarget(replaced.target());
@@ -226,8 +226,8 @@
   }
 
   /** Returns every lease that may still be in force. */
-  List<LeaseLeft> leasesLeft() {
-    List<LeaseLeft> result = new ArrayList<>();
+  List<RemainingLease> leasesLeft() {
+    List<RemainingLease> result = new ArrayList<>();
     long nowMs = clock.nowMs();
     duties.values().forEach(service -> result.addAll(service.desk().leasesLeft(nowMs)));
     return result;
@@ -238,7 +238,7 @@
    *
    * @return whether it is the one that wrote last, as far as is known yet
    */
-  boolean onLeasesLeft(LeasesLeft left, long toldMs) {
+  boolean onLeasesLeft(RemainingLeases left, long toldMs) {
     boolean newer = foreignLeases.isEmpty() || left.term() > foreignLeases.get().term();
     if (left.term() != 0 && left.term() < term && newer) {
       foreignLeases = Optional.of(left);
@@ -267,7 +267,7 @@
     }
   }
 
-  private void onTargetTime(TargetTime time) {
+  private void onTargetTime(TargetLatency time) {
     follower
         .register()
         .find(time.target())
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/LeaseInheritance.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/LeaseInheritance.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.HolderEnded;
-import io.cuminvalve.core.protocol.LeasesLeft;
+import io.cuminvalve.core.protocol.RemainingLeases;
+import io.cuminvalve.core.protocol.TermSuperseded;
 import io.cuminvalve.kernel.MillisClock;
 import io.cuminvalve.wire.PeerChannel;
 import io.cuminvalve.wire.PeerNetwork;
@@ -45,7 +45,7 @@
   /** This process holds the term no longer: whoever is next need not wait for more than this. */
   void onLost(HolderDuties ended) {
     duties = Optional.empty();
-    LeasesLeft left = new LeasesLeft(ended.term(), ended.leasesLeft());
+    RemainingLeases left = new RemainingLeases(ended.term(), ended.leasesLeft());
     earlierLeases.onOwnTermEnded(left, clock.nowMs());
     subscribers.tell(left);
   }
@@ -55,20 +55,20 @@
     if (known) {
       return;
     }
-    HolderEnded question = new HolderEnded(duties.orElseThrow().term());
+    TermSuperseded question = new TermSuperseded(duties.orElseThrow().term());
     formerHolder.ifPresent(address -> network.send(address, question));
     subscribers.tell(question);
   }
 
   /** Another gateway tells what an ended holder left behind. */
-  void onLeasesLeft(LeasesLeft left) {
+  void onLeasesLeft(RemainingLeases left) {
     long nowMs = clock.nowMs();
     earlierLeases.onHeard(left, nowMs);
     duties.ifPresent(holder -> known |= holder.onLeasesLeft(left, nowMs));
   }
 
   /** The term of an earlier holder is over, perhaps of this process: then it stops at once. */
-  void onHolderEnded(PeerChannel sender, HolderEnded ended) {
+  void onHolderEnded(PeerChannel sender, TermSuperseded ended) {
     if (duties.isPresent() && duties.get().term() < ended.term()) {
       onReplaced.run();
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaDesk.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaDesk.java
@@ -2,7 +2,7 @@
 
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.protocol.FleetMessage;
-import io.cuminvalve.core.protocol.LimitNews;
+import io.cuminvalve.core.protocol.LimitUpdate;
 import io.cuminvalve.core.protocol.QuotaReply;
 import io.cuminvalve.core.protocol.QuotaRequest;
 import io.cuminvalve.core.quota.LimitReport;
@@ -23,7 +23,7 @@
  *
  * <p>Limits are known to all by a {@link NewsExchange}. For the control thread.
  */
-final class QuotaDesk implements NewsExchange.Knowledge<LimitNews> {
+final class QuotaDesk implements NewsExchange.Knowledge<LimitUpdate> {
 
   /** Whom a gateway tells. */
   interface Audience extends FleetAudience {
@@ -43,7 +43,7 @@
   private final String process;
   private final TargetQuotas quotas;
   private final Audience audience;
-  private final NewsExchange<LimitNews> exchange;
+  private final NewsExchange<LimitUpdate> exchange;
   private final MillisClock clock;
   private final Map<String, Long> heardMs = new HashMap<>();
   private Optional<QuotaIssuer> issuer = Optional.empty();
@@ -81,11 +81,11 @@
   /** This gateway has seen the limits of targets begin, change or end. */
   void onSeen(List<TargetId> targets) {
     takeEffect(targets);
-    exchange.tellConfidants(new LimitNews(false, quotas.reports(targets)));
+    exchange.tellConfidants(new LimitUpdate(false, quotas.reports(targets)));
   }
 
   /** Another process tells what it knows. */
-  void onNews(LimitNews news, Consumer<FleetMessage> sender) {
+  void onNews(LimitUpdate news, Consumer<FleetMessage> sender) {
     takeEffect(quotas.merge(news.reports()));
     if (news.complete()) {
       exchange.onComplete(news, sender);
@@ -93,7 +93,7 @@
   }
 
   @Override
-  public Optional<LimitNews> lackedBy(LimitNews told) {
+  public Optional<LimitUpdate> lackedBy(LimitUpdate told) {
     Map<TargetId, LimitReport> known = new HashMap<>();
     told.reports().forEach(report -> known.put(report.target(), report));
     List<LimitReport> lacking = new ArrayList<>();
@@ -104,7 +104,7 @@
         lacking.add(own);
       }
     }
-    return lacking.isEmpty() ? Optional.empty() : Optional.of(new LimitNews(false, lacking));
+    return lacking.isEmpty() ? Optional.empty() : Optional.of(new LimitUpdate(false, lacking));
   }
 
   private void takeEffect(List<TargetId> changed) {
@@ -112,7 +112,7 @@
       return;
     }
     issuer.get().setLimits(quotas.limits(), clock.nowMs());
-    audience.tellAll(new LimitNews(false, quotas.reports(changed)));
+    audience.tellAll(new LimitUpdate(false, quotas.reports(changed)));
   }
 
   /** Another process says hello: which limits it knows, in short. */
@@ -130,8 +130,8 @@
   }
 
   @Override
-  public LimitNews complete() {
-    return new LimitNews(true, quotas.reports());
+  public LimitUpdate complete() {
+    return new LimitUpdate(true, quotas.reports());
   }
 
   /** This gateway has requests for a target with a limit. */
@@ -168,7 +168,7 @@
             clock.nowMs())
         .ifPresentOrElse(
             grant -> sender.accept(new QuotaReply(limit.target(), request.priority(), grant)),
-            () -> sender.accept(new LimitNews(false, quotas.reports(List.of(limit.target())))));
+            () -> sender.accept(new LimitUpdate(false, quotas.reports(List.of(limit.target())))));
   }
 
   private int fleetSize() {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.control;
 
 import io.cuminvalve.core.protocol.FleetHello;
-import io.cuminvalve.core.protocol.LimitNews;
+import io.cuminvalve.core.protocol.LimitUpdate;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.core.protocol.QuotaReply;
 import io.cuminvalve.core.protocol.QuotaRequest;
@@ -70,7 +70,7 @@
       desk.onRequest(sender.peerAddress(), request, sender::send);
     } else if (message instanceof QuotaReply reply) {
       quotas.onReply(reply);
-    } else if (message instanceof LimitNews news) {
+    } else if (message instanceof LimitUpdate news) {
       desk.onNews(news, sender::send);
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServiceDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServiceDuties.java
@@ -18,7 +18,7 @@
 import io.cuminvalve.core.lease.LeaseDesk;
 import io.cuminvalve.core.lease.RangeRoute;
 import io.cuminvalve.core.protocol.KeyLoadReport;
-import io.cuminvalve.core.protocol.TargetTime;
+import io.cuminvalve.core.protocol.TargetLatency;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -134,9 +134,9 @@
   }
 
   /** A busy target's times tell more of its queue than of its speed. */
-  void onTargetTime(TargetTime time) {
+  void onTargetTime(TargetLatency time) {
     if (!busy.contains(time.target())) {
-      speeds.onAnswers(time.target(), time.meanRelativeTime(), time.answers());
+      speeds.onAnswers(time.target(), time.meanRelativeLatency(), time.answers());
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
@@ -5,8 +5,8 @@
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.lease.RangeRoute;
-import io.cuminvalve.core.protocol.TargetTime;
-import io.cuminvalve.core.protocol.TargetTimesReport;
+import io.cuminvalve.core.protocol.TargetLatency;
+import io.cuminvalve.core.protocol.TargetLatencyReport;
 import io.cuminvalve.kernel.MillisClock;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -435,10 +435,10 @@
   }
 
   /** Returns how long targets took since the last call. */
-  synchronized TargetTimesReport takeTimes() {
-    List<TargetTime> times = new ArrayList<>();
+  synchronized TargetLatencyReport takeTimes() {
+    List<TargetLatency> times = new ArrayList<>();
     slotsByTarget.forEach((id, slots) -> slots.takeTime(id).ifPresent(times::add));
-    return new TargetTimesReport(times);
+    return new TargetLatencyReport(times);
   }
 
   /** Returns how many requests wait. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
@@ -1,8 +1,8 @@
 package io.cuminvalve.gateway.traffic;
 
 import io.cuminvalve.core.exchange.ExchangeEffect;
-import io.cuminvalve.core.exchange.ExchangeMachine;
 import io.cuminvalve.core.exchange.ExchangeProfile;
+import io.cuminvalve.core.exchange.ExchangeStateMachine;
 import io.cuminvalve.core.route.Route;
 import io.cuminvalve.core.route.RoutingConfiguration;
 import io.cuminvalve.core.send.SendCondition;
@@ -17,7 +17,7 @@
 
 /**
  * One request, from the moment it has been read to its one final answer: carries out what {@link
- * ExchangeMachine} decides.
+ * ExchangeStateMachine} decides.
  *
  * <p>Decisions are made under this object's monitor, effects are carried out without it.
  */
@@ -26,7 +26,7 @@
   private final ExchangeServices services;
   private final CallerRequest call;
   private final PlacementWish wish;
-  private final ExchangeMachine machine;
+  private final ExchangeStateMachine machine;
   private final Runnable onEnded;
 
   private volatile Slot slot;
@@ -41,7 +41,7 @@
     this.onEnded = onEnded;
     this.wish =
         new PlacementWish(call.route(), call.service(), call.key(), call.body().length, this);
-    this.machine = new ExchangeMachine(profileOf(call), this::takesBudget);
+    this.machine = new ExchangeStateMachine(profileOf(call), this::takesBudget);
   }
 
   private static ExchangeProfile profileOf(CallerRequest call) {
@@ -192,10 +192,10 @@
   }
 
   private void carryOut(ExchangeEffect effect) {
-    if (effect instanceof ExchangeEffect.SeekSlot seek) {
+    if (effect instanceof ExchangeEffect.AcquireSlot seek) {
       patience = services.timers().schedule(this::onOutOfPatience, seek.patienceMs());
       services.dispatcher().submit(wish);
-    } else if (effect instanceof ExchangeEffect.StopSeeking) {
+    } else if (effect instanceof ExchangeEffect.CancelSlotRequest) {
       services.dispatcher().withdraw(wish);
     } else if (effect instanceof ExchangeEffect.Send) {
       send();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.traffic;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.TargetTime;
+import io.cuminvalve.core.protocol.TargetLatency;
 import java.util.Optional;
 
 /**
@@ -106,11 +106,11 @@
   }
 
   /** Returns what was measured since the last call, if anything. */
-  Optional<TargetTime> takeTime(TargetId id) {
+  Optional<TargetLatency> takeTime(TargetId id) {
     if (reportedAnswers == 0) {
       return Optional.empty();
     }
-    TargetTime time = new TargetTime(id, reportedTime / reportedAnswers, reportedAnswers);
+    TargetLatency time = new TargetLatency(id, reportedTime / reportedAnswers, reportedAnswers);
     reportedTime = 0;
     reportedAnswers = 0;
     return Optional.of(time);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashArchiveTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashArchiveTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.CrashNews;
+import io.cuminvalve.core.protocol.CrashUpdate;
 import io.cuminvalve.core.quarantine.CrashReport;
 import io.cuminvalve.core.quarantine.RequestFingerprint;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -24,7 +24,7 @@
   private final MemoryStore memory = new MemoryStore();
   private final ControlThread control = new ControlThread("test", FailureHandler.logging());
   private final DecisionLog log = new DecisionLog(() -> 0, 100, line -> {});
-  private final List<CrashNews> read = new ArrayList<>();
+  private final List<CrashUpdate> read = new ArrayList<>();
   private final CrashArchive first = archive(news -> {});
   private final CrashArchive second = archive(read::add);
 
@@ -82,14 +82,14 @@
     assertThat(read).containsExactly(news(3));
   }
 
-  private CrashArchive archive(Consumer<CrashNews> onRead) {
+  private CrashArchive archive(Consumer<CrashUpdate> onRead) {
     return new CrashArchive(memory, control, log, new RecordCodec(), onRead);
   }
 
-  private static CrashNews news(int number) {
+  private static CrashUpdate news(int number) {
     RequestFingerprint fingerprint = new RequestFingerprint(number);
     TargetId target = new TargetId("core-" + number);
-    return new CrashNews(
+    return new CrashUpdate(
         false,
         List.of(
             new CrashReport(
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
@@ -1,10 +1,10 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.CrashNews;
+import io.cuminvalve.core.protocol.CrashUpdate;
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.core.protocol.TrialPermit;
 import io.cuminvalve.core.protocol.TrialRequest;
-import io.cuminvalve.core.quarantine.CrashLedger;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.core.quarantine.RequestFingerprint;
 import io.cuminvalve.core.quarantine.RequestIdentity;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -31,7 +31,7 @@
   private final List<Member> members = new ArrayList<>();
   private final PriorityQueue<Delivery> underWay = new PriorityQueue<>();
   private List<Integer> deputies = List.of();
-  private Optional<CrashNews> stored = Optional.empty();
+  private Optional<CrashUpdate> stored = Optional.empty();
   private int holder;
   private long holderSinceMs;
   private long nowMs = 1;
@@ -178,7 +178,7 @@
     if (!to.alive) {
       return;
     }
-    if (delivery.message instanceof CrashNews news) {
+    if (delivery.message instanceof CrashUpdate news) {
       to.desk.onNews(news, answer -> send(to, from.index, answer));
     } else if (delivery.message instanceof TrialRequest request) {
       to.desk.onTrialRequest(request.fingerprint(), answer -> send(to, from.index, answer));
@@ -220,7 +220,7 @@
     Member(int index) {
       this.index = index;
       DecisionLog log = new DecisionLog(clock, 1, line -> {});
-      this.desk = new CrashDesk(new CrashLedger(0), quarantine, this, clock, log);
+      this.desk = new CrashDesk(new CrashTracker(0), quarantine, this, clock, log);
       quarantine.onAnswered(this::onAnswered);
     }
 
@@ -253,7 +253,7 @@
     }
 
     @Override
-    public void keep(CrashNews quarantined) {
+    public void keep(CrashUpdate quarantined) {
       stored = Optional.of(quarantined);
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureDeskTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureDeskTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.DepartureNews;
+import io.cuminvalve.core.protocol.DepartureUpdate;
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import java.util.ArrayDeque;
@@ -164,7 +164,8 @@
               members
                   .get(to)
                   .desk
-                  .onNews((DepartureNews) message, answer -> members.get(to).tell(index, answer)));
+                  .onNews(
+                      (DepartureUpdate) message, answer -> members.get(to).tell(index, answer)));
     }
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/EarlierLeasesTest.java
@@ -4,8 +4,8 @@
 
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.LeaseLeft;
-import io.cuminvalve.core.protocol.LeasesLeft;
+import io.cuminvalve.core.protocol.RemainingLease;
+import io.cuminvalve.core.protocol.RemainingLeases;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -42,11 +42,11 @@
     assertThat(leases.leftBefore(3, 0)).isEmpty();
   }
 
-  private static LeasesLeft left(long term, long... leftMs) {
-    List<LeaseLeft> list = new ArrayList<>();
+  private static RemainingLeases left(long term, long... leftMs) {
+    List<RemainingLease> list = new ArrayList<>();
     for (long ms : leftMs) {
-      list.add(new LeaseLeft(new ServiceId("core"), 0, 9, new TargetId("a"), ms));
+      list.add(new RemainingLease(new ServiceId("core"), 0, 9, new TargetId("a"), ms));
     }
-    return new LeasesLeft(term, list);
+    return new RemainingLeases(term, list);
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
@@ -10,8 +10,8 @@
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.fleet.TargetPhase;
 import io.cuminvalve.core.protocol.FleetHello;
-import io.cuminvalve.core.protocol.FleetNews;
-import io.cuminvalve.core.protocol.FollowerBeat;
+import io.cuminvalve.core.protocol.FleetSnapshot;
+import io.cuminvalve.core.protocol.FollowerHeartbeat;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.core.protocol.TargetsChange;
 import io.cuminvalve.core.protocol.TargetsPush;
@@ -269,7 +269,8 @@
     long last = 0;
     for (long ms = 1; ms <= WATCHED_MS; ms++) {
       if (ms % 300 == 0) {
-        gateway.hear(NEXT_HOLDER, new FollowerBeat(1, HOLDER, 100, 0, 100, clock.upper().ms()));
+        gateway.hear(
+            NEXT_HOLDER, new FollowerHeartbeat(1, HOLDER, 100, 0, 100, clock.upper().ms()));
       }
       clock.advance(1);
       last = gateway.traffic.sendsTo(A) ? ms : last;
@@ -431,8 +432,8 @@
     gateway.hear("10.0.0.8:1", new FleetHello("new", 0, 0, 0, 0, 0, "here", 1, 0, 0, 0, 0));
     List<FleetTarget> told =
         sent.stream()
-            .filter(FleetNews.class::isInstance)
-            .flatMap(news -> ((FleetNews) news).targets().targets().stream())
+            .filter(FleetSnapshot.class::isInstance)
+            .flatMap(news -> ((FleetSnapshot) news).targets().targets().stream())
             .toList();
     assertThat(told).doesNotContain(READY);
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
@@ -4,11 +4,11 @@
 import io.cuminvalve.core.fleet.TargetPhase;
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.lease.LeaseTimings;
-import io.cuminvalve.core.protocol.FleetBeat;
+import io.cuminvalve.core.protocol.FleetHeartbeat;
 import io.cuminvalve.core.protocol.FleetHello;
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.core.protocol.PeerMessage;
-import io.cuminvalve.core.quarantine.CrashLedger;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.gateway.GatewayPorts;
 import io.cuminvalve.gateway.GatewaySettings;
 import io.cuminvalve.gateway.RequestHeaders;
@@ -103,7 +103,7 @@
             () -> {},
             new Terms(),
             new Deputies(OWN),
-            new CrashLedger(0.5));
+            new CrashTracker(0.5));
   }
 
   void start() {
@@ -124,12 +124,12 @@
   }
 
   /** A beat that vouches for whatever its sender has told. */
-  FleetBeat beat(long term, long registryAgeMs) {
+  FleetHeartbeat beat(long term, long registryAgeMs) {
     return beat(term, registryAgeMs, 0, clock.upper().ms());
   }
 
-  FleetBeat beat(long term, long registryAgeMs, long targetsVersion, long helloSentMs) {
-    return new FleetBeat(
+  FleetHeartbeat beat(long term, long registryAgeMs, long targetsVersion, long helloSentMs) {
+    return new FleetHeartbeat(
         term, processes, registryAgeMs, 0, 1, 0, List.of(OWN), targetsVersion, helloSentMs);
   }
 
@@ -327,7 +327,7 @@
       tell(beat(clock.upper().ms()));
     }
 
-    private FleetBeat beat(long helloSentMs) {
+    private FleetHeartbeat beat(long helloSentMs) {
       boolean hasTold = view.targets().term() == term;
       long version = hasTold ? view.targets().version() : Long.MAX_VALUE;
       return follower.beat(term, registry.ageMs(), version, helloSentMs);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
@@ -6,7 +6,7 @@
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.protocol.FleetMessage;
-import io.cuminvalve.core.protocol.LimitNews;
+import io.cuminvalve.core.protocol.LimitUpdate;
 import io.cuminvalve.core.protocol.QuotaReply;
 import io.cuminvalve.core.protocol.QuotaRequest;
 import io.cuminvalve.gateway.traffic.QuotaTraffic;
@@ -217,7 +217,7 @@
         desk.onRequest("gateway-" + sender, request, reply -> send(this, sender, reply));
       } else if (message instanceof QuotaReply reply) {
         traffic.quotas().onReply(reply);
-      } else if (message instanceof LimitNews news) {
+      } else if (message instanceof LimitUpdate news) {
         desk.onNews(news, answer -> send(this, sender, answer));
       }
     }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerMessageTypes.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerMessageTypes.java
@@ -2,17 +2,16 @@
 
 import io.cuminvalve.core.protocol.ConfigPush;
 import io.cuminvalve.core.protocol.ConfigRequest;
-import io.cuminvalve.core.protocol.ConfigurationNews;
-import io.cuminvalve.core.protocol.CrashNews;
-import io.cuminvalve.core.protocol.DepartureNews;
-import io.cuminvalve.core.protocol.FleetBeat;
+import io.cuminvalve.core.protocol.ConfigurationUpdate;
+import io.cuminvalve.core.protocol.CrashUpdate;
+import io.cuminvalve.core.protocol.DepartureUpdate;
+import io.cuminvalve.core.protocol.FleetHeartbeat;
 import io.cuminvalve.core.protocol.FleetHello;
-import io.cuminvalve.core.protocol.FleetNews;
-import io.cuminvalve.core.protocol.FollowerBeat;
+import io.cuminvalve.core.protocol.FleetSnapshot;
+import io.cuminvalve.core.protocol.FollowerHeartbeat;
 import io.cuminvalve.core.protocol.Heartbeat;
 import io.cuminvalve.core.protocol.HeartbeatReply;
 import io.cuminvalve.core.protocol.HolderAlive;
-import io.cuminvalve.core.protocol.HolderEnded;
 import io.cuminvalve.core.protocol.HolderLearnReply;
 import io.cuminvalve.core.protocol.HolderLearnRequest;
 import io.cuminvalve.core.protocol.HolderProbe;
@@ -26,8 +25,7 @@
 import io.cuminvalve.core.protocol.LearnRequest;
 import io.cuminvalve.core.protocol.LeaseReply;
 import io.cuminvalve.core.protocol.LeaseRequest;
-import io.cuminvalve.core.protocol.LeasesLeft;
-import io.cuminvalve.core.protocol.LimitNews;
+import io.cuminvalve.core.protocol.LimitUpdate;
 import io.cuminvalve.core.protocol.LoadReport;
 import io.cuminvalve.core.protocol.NotHolder;
 import io.cuminvalve.core.protocol.PeerMessage;
@@ -42,6 +40,7 @@
 import io.cuminvalve.core.protocol.PermitsClosed;
 import io.cuminvalve.core.protocol.QuotaReply;
 import io.cuminvalve.core.protocol.QuotaRequest;
+import io.cuminvalve.core.protocol.RemainingLeases;
 import io.cuminvalve.core.protocol.RouterHello;
 import io.cuminvalve.core.protocol.RouterHints;
 import io.cuminvalve.core.protocol.RouterLeave;
@@ -51,11 +50,12 @@
 import io.cuminvalve.core.protocol.ShardsOpened;
 import io.cuminvalve.core.protocol.TablePush;
 import io.cuminvalve.core.protocol.TableRequest;
+import io.cuminvalve.core.protocol.TargetLatencyReport;
 import io.cuminvalve.core.protocol.TargetReplaced;
 import io.cuminvalve.core.protocol.TargetRestsReport;
-import io.cuminvalve.core.protocol.TargetTimesReport;
 import io.cuminvalve.core.protocol.TargetsChange;
 import io.cuminvalve.core.protocol.TargetsPush;
+import io.cuminvalve.core.protocol.TermSuperseded;
 import io.cuminvalve.core.protocol.TrialPermit;
 import io.cuminvalve.core.protocol.TrialRequest;
 import java.util.Map;
@@ -107,27 +107,27 @@
           type(34, HolderAlive.class),
           type(35, RouterHints.class),
           type(36, FleetHello.class),
-          type(37, FleetBeat.class),
+          type(37, FleetHeartbeat.class),
           type(38, TargetsPush.class),
           type(39, RoutesPush.class),
           type(40, KeyLoadReport.class),
-          type(41, TargetTimesReport.class),
-          type(42, FleetNews.class),
-          type(43, HolderEnded.class),
-          type(44, LeasesLeft.class),
+          type(41, TargetLatencyReport.class),
+          type(42, FleetSnapshot.class),
+          type(43, TermSuperseded.class),
+          type(44, RemainingLeases.class),
           type(45, TargetReplaced.class),
           type(46, RoutesChange.class),
           type(47, TargetsChange.class),
-          type(48, ConfigurationNews.class),
-          type(49, FollowerBeat.class),
-          type(50, CrashNews.class),
-          type(51, LimitNews.class),
+          type(48, ConfigurationUpdate.class),
+          type(49, FollowerHeartbeat.class),
+          type(50, CrashUpdate.class),
+          type(51, LimitUpdate.class),
           type(52, QuotaRequest.class),
           type(53, QuotaReply.class),
           type(54, TrialRequest.class),
           type(55, TrialPermit.class),
           type(56, TargetRestsReport.class),
-          type(57, DepartureNews.class));
+          type(57, DepartureUpdate.class));
 
   private PeerMessageTypes() {}
 
