--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/ConfigurationUpdate.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/ConfigurationUpdate.java
@@ -1,15 +1,15 @@
 package io.cuminvalve.core.protocol;
 
 /**
- * Sent by the holder of the term to all processes when the configuration changes, and with the
- * configuration itself to one that still lacks it a while later.
+ * Announces a configuration change. The term holder sends the revision to all processes, and later
+ * the full configuration to each process that still lacks it.
  *
- * <p>So a process whose own wait at the store fell silent looks again at once, and one that the
- * store does not answer has it all the same.
+ * <p>A process whose store watch has stalled thereby rereads the store at once, and a process that
+ * cannot reach the store still receives the configuration.
  *
- * @param revision the store's revision of the configuration; above 0
- * @param configuration the configuration as operators wrote it; empty if only its revision is told;
- *     not null
+ * @param revision the store revision of the configuration; above 0
+ * @param configuration the configuration document as written by operators; empty if only the
+ *     revision is announced; not null
  * @since 0.2
  */
 public record ConfigurationUpdate(long revision, byte[] configuration) implements FleetMessage {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/CrashUpdate.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/CrashUpdate.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Sent between any two processes: under which requests targets ended.
+ * Exchanges crash reports between any two processes: the requests during which targets crashed.
  *
- * @param complete whether these are all requests that the sender watches, so that the receiver can
- *     tell what it lacks
- * @param reports what the sender knows; not null
+ * @param complete whether the reports cover every request on the sender's watch list, so that the
+ *     receiver can detect and send what the sender is missing
+ * @param reports the reports known to the sender; not null
  * @since 0.2
  */
 public record CrashUpdate(boolean complete, List<CrashReport> reports) implements FleetMessage {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/DepartureUpdate.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/DepartureUpdate.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * Sent between any two processes: which targets have said that they leave.
+ * Exchanges departure reports between any two processes: the targets that have announced their
+ * shutdown.
  *
- * @param complete whether these are all that the sender knows, so that the receiver can tell what
- *     it lacks
- * @param reports what the sender knows; not null
+ * @param complete whether these are all reports known to the sender, so that the receiver can
+ *     detect and send what the sender is missing
+ * @param reports the reports; not null
  * @since 0.2
  */
 public record DepartureUpdate(boolean complete, List<DepartureReport> reports)
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetHeartbeat.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetHeartbeat.java
@@ -3,20 +3,18 @@
 import java.util.List;
 
 /**
- * Sent by the holder of the term to every process that said hello lately.
+ * Sent by the term holder in reply to {@link FleetHello}.
  *
- * @param term the holder's term
- * @param processes how many processes said hello lately, the holder included
- * @param registryAgeMs how old the holder's knowledge of the targets is; milliseconds
- * @param termAgeMs when the store last confirmed the term, before now; milliseconds
- * @param configurationRevision the store's revision of the configuration that the holder knows; 0
- *     if it knows none
- * @param configurationAgeMs how old that knowledge is; milliseconds
- * @param deputies the peer addresses of the gateways that follow the store beside the holder; not
- *     null
- * @param targetsVersion the version of the targets that the holder has told in its term; {@link
- *     Long#MAX_VALUE} if it has told none
- * @param helloSentMs when the hello that this answers was sent, by its sender's clock; milliseconds
+ * @param term the term of the holder
+ * @param processes number of processes that sent a hello recently, including the holder
+ * @param registryAgeMs age of the holder's view of the target registry; milliseconds
+ * @param termAgeMs time since the store last confirmed the term; milliseconds
+ * @param configurationRevision the store revision of the holder's configuration; 0 if it has none
+ * @param configurationAgeMs age of that configuration reading; milliseconds
+ * @param deputies peer addresses of the gateways that also follow the store; not null
+ * @param targetsVersion the version of the target list that the holder last published in its term;
+ *     {@link Long#MAX_VALUE} if it has published none
+ * @param helloSentMs send time of the hello being answered, on its sender's clock; milliseconds
  * @since 0.2
  */
 public record FleetHeartbeat(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetHello.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetHello.java
@@ -1,21 +1,24 @@
 package io.cuminvalve.core.protocol;
 
 /**
- * Sent by every process to the holder of the term, again and again: what it knows, so that the
- * holder sends what it lacks.
+ * Sent periodically by every process to the term holder. It lists the versions that the sender has,
+ * so that the holder can send newer ones.
  *
  * @param process the sender's id; not null
- * @param targetsTerm the term under which it learned of the targets; 0 if it knows none
- * @param targetsVersion the version of the targets that it knows
- * @param routesTerm the term under which it learned of the owners; 0 if it knows none
- * @param routesVersion the version of the owners that it knows
- * @param configurationRevision the store's revision of the configuration that it knows; 0 if none
- * @param dataCentre where the sender runs; not null
- * @param processorCores how many cores it may use
- * @param crashDigest tells whether both watch the same requests for crashes; 0 if it watches none
- * @param limitDigest tells whether both know the same limits of targets; 0 if it knows none
- * @param sentMs when it was sent, by the sender's clock, for the answer to repeat; milliseconds
- * @param departureDigest tells whether both know the same targets that leave; 0 if it knows none
+ * @param targetsTerm the term of the sender's target list; 0 if it has none
+ * @param targetsVersion the version of the sender's target list
+ * @param routesTerm the term of the sender's routes; 0 if it has none
+ * @param routesVersion the version of the sender's routes
+ * @param configurationRevision the store revision of the sender's configuration; 0 if none
+ * @param dataCentre the sender's data centre; not null
+ * @param processorCores number of processor cores available to the sender
+ * @param crashDigest digest of the crash watch list, compared with the receiver's; 0 if the list is
+ *     empty
+ * @param limitDigest digest of the known target limits, compared with the receiver's; 0 if none are
+ *     known
+ * @param sentMs send time on the sender's clock, echoed in the reply; milliseconds
+ * @param departureDigest digest of the known departing targets, compared with the receiver's; 0 if
+ *     none are known
  * @since 0.2
  */
 public record FleetHello(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetMessage.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetMessage.java
@@ -3,13 +3,13 @@
 import io.cuminvalve.core.id.CellId;
 
 /**
- * A message that concerns the whole fleet and no single cell.
+ * A message that concerns the whole fleet rather than a single cell.
  *
  * @since 0.2
  */
 public interface FleetMessage extends PeerMessage {
 
-  /** Stands for all cells. */
+  /** Pseudo cell id that represents all cells. */
   CellId FLEET = new CellId("fleet");
 
   @Override
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetSnapshot.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FleetSnapshot.java
@@ -1,15 +1,17 @@
 package io.cuminvalve.core.protocol;
 
 /**
- * Sent by any process to one that asks and does not hold the term: what it knows.
+ * Contains the sender's view of the fleet. Any process sends it in reply to a {@link FleetHello}
+ * from a process that has no configuration, or neither targets nor routes.
  *
- * <p>So a process that starts while the store is out of reach can serve.
+ * <p>It allows a process that starts while the store is unreachable to serve requests.
  *
- * @param configurationRevision the store's revision of the configuration; 0 if none is known
- * @param configuration the configuration as operators wrote it; not null, empty if none is known
- * @param holderAddress the peer address of the holder of the term; empty if unknown; not null
- * @param targets the newest targets from the holder; not null
- * @param routes the newest owners from the holder; not null
+ * @param configurationRevision the store revision of the configuration; 0 if none is known
+ * @param configuration the configuration document as written by operators; not null, empty if none
+ *     is known
+ * @param holderAddress peer address of the term holder; empty if unknown; not null
+ * @param targets the newest target list received from the holder; not null
+ * @param routes the newest routes received from the holder; not null
  * @since 0.2
  */
 public record FleetSnapshot(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FollowerHeartbeat.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/FollowerHeartbeat.java
@@ -1,14 +1,14 @@
 package io.cuminvalve.core.protocol;
 
 /**
- * The answer of a process that does not hold the term to a hello: what it knows of the store.
+ * Reply to a {@link FleetHello} from a process that does not hold the term: its view of the store.
  *
- * @param term the newest term that it knows; 0 if it knows none
- * @param holderAddress the peer address of that term's holder; empty if unknown; not null
- * @param termAgeMs how old that knowledge is; milliseconds
- * @param configurationRevision the store's revision of the configuration that it knows; 0 if none
- * @param configurationAgeMs how old that knowledge is; milliseconds
- * @param helloSentMs when the hello that this answers was sent, by its sender's clock; milliseconds
+ * @param term the newest term known to the sender; 0 if none
+ * @param holderAddress peer address of the holder of that term; empty if unknown; not null
+ * @param termAgeMs age of the term reading; milliseconds
+ * @param configurationRevision the store revision of the sender's configuration; 0 if none
+ * @param configurationAgeMs age of the configuration reading; milliseconds
+ * @param helloSentMs send time of the hello being answered, on its sender's clock; milliseconds
  * @since 0.2
  */
 public record FollowerHeartbeat(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/Heartbeat.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/Heartbeat.java
@@ -4,14 +4,13 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * Sent by the holder of the term to each registered router.
+ * Sent periodically by the term holder to each registered router.
  *
  * @param cell the cell; not null
- * @param term the term of the sender; a receiver that sees it refuses tables of lower terms from
- *     then on
- * @param round grows with each heartbeat of the sender; echoed in the reply
- * @param version the newest table version of the sender; not null
- * @param configRevision the newest configuration revision of the sender
+ * @param term the sender's term; the receiver rejects tables of lower terms from then on
+ * @param round number of the heartbeat, increasing per sender; echoed in the reply
+ * @param version the sender's newest table version; not null
+ * @param configRevision the sender's newest configuration revision
  * @since 0.1
  */
 public record Heartbeat(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/HeartbeatReply.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/HeartbeatReply.java
@@ -7,20 +7,21 @@
 import java.util.List;
 
 /**
- * Answer of a router to a heartbeat, an acknowledgement of the table version it installed.
+ * Reply of a router to a {@link Heartbeat}; acknowledges the installed table version.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
- * @param incarnation its current run; not null
- * @param term the highest term it has seen
- * @param round the round of the heartbeat
- * @param learned whether it counts as a witness: true once it has caught up after its start
- * @param version the newest table version it installed; not null
- * @param configRevision the newest configuration revision it installed
- * @param dispatchRemainingMs how long any grant that it issued under an earlier version can still
- *     be in force, in milliseconds on its own clock; the route lease length if it may have
- *     forgotten
- * @param observations what it saw of targets since the last reply; not null
+ * @param incarnation the sender's incarnation; not null
+ * @param term the highest term seen by the sender
+ * @param round the round of the heartbeat being answered
+ * @param learned whether the sender counts as a witness, which it does once it has caught up after
+ *     its start
+ * @param version the newest installed table version; not null
+ * @param configRevision the newest installed configuration revision
+ * @param dispatchRemainingMs the longest remaining validity of any grant issued under an earlier
+ *     version, in milliseconds on the sender's clock; the full route lease length if the sender may
+ *     have lost track of its grants
+ * @param observations target observations since the last reply; not null
  * @since 0.1
  */
 public record HeartbeatReply(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/HolderLearnRequest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/HolderLearnRequest.java
@@ -4,11 +4,12 @@
 import io.cuminvalve.core.id.RouterId;
 
 /**
- * Asks the holder of the term for the newest version, read after this request arrived.
+ * Requests the newest table version from the term holder, which must confirm its term with the
+ * store after this request arrives.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
- * @param nonce pairs the reply with the request
+ * @param nonce correlates the reply with the request
  * @since 0.1
  */
 public record HolderLearnRequest(CellId cell, RouterId router, long nonce) implements PeerMessage {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/HolderProbe.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/HolderProbe.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.core.id.CellId;
 
 /**
- * Sent by a standby controller to the holder: asks whether its control thread is alive.
+ * Sent by a standby controller to the term holder to check that its control thread is alive.
  *
  * @param cell the cell; not null
  * @since 0.1
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentClaimReply.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentClaimReply.java
@@ -7,15 +7,15 @@
 import io.cuminvalve.core.intent.OperationId;
 
 /**
- * Answer of a keeper to a claim.
+ * Reply of a keeper to an {@link IntentClaimRequest}.
  *
  * @param cell the cell; not null
  * @param keeper the sender; not null
  * @param operation the operation; not null
- * @param request the request that claims it; not null
- * @param answer what it says; not null
- * @param retryAfterMs when to ask again; milliseconds
- * @param routersDigest from the request
+ * @param request the request that claims the operation; not null
+ * @param answer the result of the claim; not null
+ * @param retryAfterMs delay before the next attempt; milliseconds
+ * @param routersDigest the digest from the request
  * @since 0.1
  */
 public record IntentClaimReply(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentClaimRequest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentClaimRequest.java
@@ -8,17 +8,17 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * Asks a keeper to remember that the sender is about to send an operation.
+ * Asks a keeper to record that the sender is about to send an operation.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
- * @param incarnation its current run; not null
- * @param version the table version that the sender has installed; not null
+ * @param incarnation the sender's incarnation; not null
+ * @param version the table version installed at the sender; not null
  * @param operation the operation; not null
- * @param request the request that claims it; not null
+ * @param request the request that claims the operation; not null
  * @param remainingMs milliseconds until the deadline of the request
- * @param routersDigest digest of the routers registered at the sender, so that both choose the same
- *     keepers
+ * @param routersDigest digest of the routers registered at the sender, used to verify that both
+ *     sides select the same keepers
  * @since 0.1
  */
 public record IntentClaimRequest(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentPullReply.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentPullReply.java
@@ -8,19 +8,21 @@
 import java.util.List;
 
 /**
- * Entries for which the asker is a keeper under the sender's registered routers.
+ * Returns the entries for which the requester is a keeper according to the sender's registered
+ * routers.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
- * @param incarnation its current run; not null
- * @param version the table version that the sender has installed; not null
- * @param nonce from the request
- * @param completeVersion the newest version under which the sender had caught up; not null
+ * @param incarnation the sender's incarnation; not null
+ * @param version the table version installed at the sender; not null
+ * @param nonce the nonce of the request
+ * @param completeVersion the newest table version for which the sender's entries were complete; not
+ *     null
  * @param completeRouters the routers registered in that version; not null
- * @param entries a part of the entries; not null
- * @param last whether no further part follows
- * @param restarted routers of which the sender met an earlier run within the retention time, so
- *     that they may have forgotten claims; not null
+ * @param entries one batch of entries; not null
+ * @param last whether this is the last batch
+ * @param restarted routers that restarted within the retention time, as seen by the sender, and may
+ *     have lost claims; not null
  * @since 0.1
  */
 public record IntentPullReply(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentSettled.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentSettled.java
@@ -7,13 +7,13 @@
 import io.cuminvalve.core.verdict.Verdict;
 
 /**
- * Tells a keeper how a claimed operation ended.
+ * Reports the result of a claimed operation to a keeper.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
  * @param operation the operation; not null
- * @param request the request that claims it; not null
- * @param verdict NOT_RUN frees the operation for another request; not null
+ * @param request the request that claimed the operation; not null
+ * @param verdict the result; NOT_RUN allows another request to claim the operation; not null
  * @since 0.1
  */
 public record IntentSettled(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/LearnReply.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/LearnReply.java
@@ -5,14 +5,14 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * Answer to a learn request.
+ * Reply to a {@link LearnRequest}.
  *
  * @param cell the cell; not null
  * @param witness the sender; not null
- * @param nonce from the request
- * @param learned whether the sender itself has caught up
- * @param term the highest term it has seen
- * @param version the newest version it knows; not null
+ * @param nonce the nonce of the request
+ * @param learned whether the sender has caught up since its own start
+ * @param term the highest term seen by the sender
+ * @param version the newest table version known to the sender; not null
  * @since 0.1
  */
 public record LearnReply(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/LeaseReply.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/LeaseReply.java
@@ -5,13 +5,13 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * Answer of a witness to a lease request.
+ * Reply of a witness to a {@link LeaseRequest}.
  *
  * @param cell the cell; not null
  * @param witness the sender; not null
- * @param nonce from the request
- * @param confirmed whether it knows no newer version and may speak
- * @param version the newest version it knows; not null
+ * @param nonce the nonce of the request
+ * @param confirmed whether the sender knows no newer version and is entitled to vote
+ * @param version the newest table version known to the sender; not null
  * @since 0.1
  */
 public record LeaseReply(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/LimitUpdate.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/LimitUpdate.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * Sent between any two processes: which targets name a limit, or none any more.
+ * Exchanges limit reports between any two processes: the targets that have announced or lifted a
+ * rate limit.
  *
- * @param complete whether these are all limits that the sender knows, so that the receiver can tell
- *     what it lacks
- * @param reports what the sender knows; not null
+ * @param complete whether these are all limits known to the sender, so that the receiver can detect
+ *     and send what the sender is missing
+ * @param reports the reports; not null
  * @since 0.2
  */
 public record LimitUpdate(boolean complete, List<LimitReport> reports) implements FleetMessage {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitGranted.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitGranted.java
@@ -6,13 +6,14 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * The gate of a target gives a slot, until it is released or the request's deadline has passed.
+ * Grants a slot at a target. Sent by the gate of the target; valid until the slot is released or
+ * the deadline of the request passes.
  *
  * @param cell the cell; not null
- * @param version the table version that the sender has installed; not null
- * @param permit its number, unique within one run of the router that asked
+ * @param version the table version installed at the sender; not null
+ * @param permit the permit number, unique per incarnation of the requesting router
  * @param target the target; not null
- * @param receiver the run of the router that asked; not null
+ * @param receiver the incarnation of the requesting router; not null
  * @since 0.1
  */
 public record PermitGranted(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitQueued.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitQueued.java
@@ -6,13 +6,13 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * The gate of a target has the request in its queue.
+ * Confirms that the gate of a target has queued the request.
  *
  * @param cell the cell; not null
- * @param version the table version that the sender has installed; not null
- * @param permit its number, unique within one run of the router that asked
+ * @param version the table version installed at the sender; not null
+ * @param permit the permit number, unique per incarnation of the requesting router
  * @param target the target; not null
- * @param receiver the run of the router that asked; not null
+ * @param receiver the incarnation of the requesting router; not null
  * @since 0.1
  */
 public record PermitQueued(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitRefused.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitRefused.java
@@ -7,15 +7,15 @@
 import io.cuminvalve.core.verdict.RefusalReason;
 
 /**
- * The gate of a target gives no slot; nothing is queued any more.
+ * Refuses a slot at a target. Sent by the gate of the target, which no longer queues the request.
  *
  * @param cell the cell; not null
- * @param version the table version that the sender has installed; not null
- * @param permit its number, unique within one run of the router that asked
+ * @param version the table version installed at the sender; not null
+ * @param permit the permit number, unique per incarnation of the requesting router
  * @param target the target; not null
- * @param reason why; not null
- * @param retryAfterMs when to come back; milliseconds
- * @param receiver the run of the router that asked; not null
+ * @param reason the reason for the refusal; not null
+ * @param retryAfterMs delay before the next attempt; milliseconds
+ * @param receiver the incarnation of the requesting router; not null
  * @since 0.1
  */
 public record PermitRefused(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitReleased.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitReleased.java
@@ -7,15 +7,15 @@
 import io.cuminvalve.core.request.SlotUse;
 
 /**
- * A slot is free again: nothing of its request is in flight.
+ * Releases a slot: its request is no longer in flight.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
- * @param incarnation its current run; not null
- * @param permit its number, unique within one run of the router that asked
+ * @param incarnation the sender's incarnation; not null
+ * @param permit the permit number, unique per incarnation of the requesting router
  * @param target the target; not null
- * @param use how it was used; not null
- * @param serviceMs milliseconds from the first byte to the end
+ * @param use how the slot was used; not null
+ * @param serviceMs time from the first byte to the end of the request; milliseconds
  * @since 0.1
  */
 public record PermitReleased(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitReport.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitReport.java
@@ -8,16 +8,16 @@
 import java.util.List;
 
 /**
- * The permits that the sender holds for targets whose gate asked. From now on it accepts no grant
- * of an earlier gate of these targets.
+ * Reply to a {@link PermitReportRequest}: the permits that the sender holds for the targets of that
+ * gate. The sender accepts no further grants from earlier gates of these targets.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
- * @param incarnation its current run; not null
- * @param version the table version that the sender has installed; not null
- * @param sawEarlierRun whether the sender has met an earlier run of the gate within the longest
- *     permit lifetime
- * @param permits permits in use; not null
+ * @param incarnation the sender's incarnation; not null
+ * @param version the table version installed at the sender; not null
+ * @param sawEarlierRun whether the sender has seen an earlier incarnation of the gate within the
+ *     maximum permit lifetime
+ * @param permits the permits in use; not null
  * @since 0.1
  */
 public record PermitReport(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitReportRequest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitReportRequest.java
@@ -6,12 +6,12 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * A new gate asks for the permits that the receiver holds.
+ * Sent by a new gate to request the permits that the receiver holds.
  *
  * @param cell the cell; not null
  * @param gate the sender; not null
- * @param gateIncarnation its current run; not null
- * @param version the table version that the sender has installed; not null
+ * @param gateIncarnation the sender's incarnation; not null
+ * @param version the table version installed at the sender; not null
  * @since 0.1
  */
 public record PermitReportRequest(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitRequest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitRequest.java
@@ -9,16 +9,16 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * Asks the gate of a target for a slot.
+ * Requests a slot from the gate of a target.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
- * @param incarnation its current run; not null
- * @param version the table version that the sender has installed; not null
- * @param permit its number, unique within one run of the router that asked
+ * @param incarnation the sender's incarnation; not null
+ * @param version the table version installed at the sender; not null
+ * @param permit the permit number, unique per incarnation of the requesting router
  * @param target the target; not null
- * @param tenant on whose behalf; not null
- * @param requestClass how urgent; not null
+ * @param tenant the tenant on whose behalf the request is sent; not null
+ * @param requestClass the urgency of the request; not null
  * @param remainingMs milliseconds until the deadline of the request
  * @since 0.1
  */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitWithdrawn.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/PermitWithdrawn.java
@@ -6,12 +6,13 @@
 import io.cuminvalve.core.id.TargetId;
 
 /**
- * The sender no longer waits for a slot. If it was granted meanwhile, the sender releases it.
+ * Cancels a request for a slot. If the slot has been granted in the meantime, the sender releases
+ * it.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
- * @param incarnation its current run; not null
- * @param permit its number, unique within one run of the router that asked
+ * @param incarnation the sender's incarnation; not null
+ * @param permit the permit number, unique per incarnation of the requesting router
  * @param target the target; not null
  * @since 0.1
  */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RemainingLeases.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RemainingLeases.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The answer to {@link TermSuperseded}, from a process that will grant nothing more in its term.
+ * Reply to {@link TermSuperseded} from a process that will grant no further leases in its term.
  *
- * @param term its term; 0 if this run of the process never held one
- * @param leases every lease of it, or of earlier holders as far as it knows, that may be in force;
- *     not null
+ * @param term the sender's term; 0 if it has held none since it started
+ * @param leases every lease that may still be valid, granted by the sender or, as far as it knows,
+ *     by earlier holders; not null
  * @since 0.2
  */
 public record RemainingLeases(long term, List<RemainingLease> leases) implements FleetMessage {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RouterHints.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RouterHints.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * Answer to a router without a table of a process that has no table to give: where it may ask.
+ * Reply to a router without a table, from a process that cannot provide one; lists other routers to
+ * ask.
  *
  * @param cell the cell; not null
  * @param routerAddresses peer addresses of registered routers; not null
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RouterLeft.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RouterLeft.java
@@ -4,7 +4,8 @@
 import io.cuminvalve.core.id.RouterId;
 
 /**
- * Answer of the holder to a router that left: the newest written table no longer names it.
+ * Reply of the term holder to a {@link RouterLeave}: the newest stored table no longer contains the
+ * router.
  *
  * @param cell the cell; not null
  * @param router the router that may exit; not null
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RoutesChange.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RoutesChange.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Sent by the holder of the term: which keys go elsewhere since the version before.
+ * Sent by the term holder: the routes that differ from the previous version.
  *
- * <p>In a wide fleet the whole map would cost a process megabytes a second while keys move; the
- * change alone is a few dozen bytes.
+ * <p>In a large fleet, sending all routes on every change would cost each process megabytes per
+ * second while keys move; the change alone is a few dozen bytes.
  *
- * @param term the holder's term
+ * @param term the term of the holder
  * @param fromVersion the version to which the change applies
- * @param version the version after it
- * @param services the ranges that differ, whole, for each service with such ranges; not null
+ * @param version the version after the change
+ * @param services the complete ranges that differ, for each service that has any; not null
  * @since 0.2
  */
 public record RoutesChange(long term, long fromVersion, long version, List<ServiceRanges> services)
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RoutesPush.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/RoutesPush.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Sent by the holder of the term: where the keys of all services are, whenever that changes.
+ * Sent by the term holder whenever routes change: the routes of all services.
  *
- * @param term the holder's term
- * @param version grows within a term
+ * @param term the term of the holder
+ * @param version the version, which increases within a term
  * @param services one entry for each service with keys; not null
  * @since 0.2
  */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/ServiceRanges.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/ServiceRanges.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * Where the keys of a service are.
+ * The routes of the key ranges of a service.
  *
  * @param service the service; not null
- * @param ranges in the order of keys; not null
+ * @param ranges the ranges in key order; not null
  * @since 0.2
  */
 public record ServiceRanges(ServiceId service, List<RangeRoute> ranges) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TableRequest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TableRequest.java
@@ -4,10 +4,10 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * Asks the receiver for its table.
+ * Requests the receiver's shard table.
  *
  * @param cell the cell; not null
- * @param known the newest version that the sender has; not null
+ * @param known the newest table version known to the sender; not null
  * @since 0.1
  */
 public record TableRequest(CellId cell, TableVersion known) implements PeerMessage {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetLatency.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetLatency.java
@@ -3,11 +3,12 @@
 import io.cuminvalve.core.id.TargetId;
 
 /**
- * How long a target took.
+ * The response times of a target.
  *
  * @param target the target; not null
- * @param meanRelativeLatency the mean time of its answers over the mean of their routes
- * @param answers how many answers that was; at least 1
+ * @param meanRelativeLatency mean response time of the target, divided by the mean response time of
+ *     the routes served
+ * @param answers number of responses; at least 1
  * @since 0.2
  */
 public record TargetLatency(TargetId target, double meanRelativeLatency, int answers) {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetLatencyReport.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetLatencyReport.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Sent by every process to the holder of the term: how long targets took since the last report.
+ * Sent by every process to the term holder: the response times of targets since the last report.
  *
- * @param times one entry for each target that answered; not null
+ * @param times one entry for each target that responded; not null
  * @since 0.2
  */
 public record TargetLatencyReport(List<TargetLatency> times) implements FleetMessage {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetRest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetRest.java
@@ -3,10 +3,10 @@
 import io.cuminvalve.core.id.TargetId;
 
 /**
- * For how long a process leaves a target alone that has asked it for rest.
+ * The remaining back-off of a process for a target that requested it.
  *
- * @param target the run of the target; not null
- * @param leftMs how long still; milliseconds, at least 0
+ * @param target the target incarnation; not null
+ * @param leftMs remaining back-off; milliseconds, at least 0
  * @since 0.2
  */
 public record TargetRest(TargetId target, long leftMs) {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetsChange.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetsChange.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * Sent by the holder of the term: which targets came, changed or went since the version before.
+ * Sent by the term holder: the targets added, changed or removed since the previous version.
  *
- * @param term the holder's term
+ * @param term the term of the holder
  * @param fromVersion the version to which the change applies
- * @param version the version after it
- * @param written the targets that are new or differ; not null
- * @param removed the targets that are gone; not null
+ * @param version the version after the change
+ * @param written the added or changed targets; not null
+ * @param removed the removed targets; not null
  * @since 0.2
  */
 public record TargetsChange(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetsPush.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetsPush.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * Sent by the holder of the term: all targets, whenever routing has to change.
+ * Sent by the term holder whenever routing has to change: the complete target list.
  *
- * @param term the holder's term
- * @param version grows within a term
+ * @param term the term of the holder
+ * @param version the version, which increases within a term
  * @param targets every registered target; not null
  * @since 0.2
  */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TermSuperseded.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TermSuperseded.java
@@ -1,9 +1,9 @@
 package io.cuminvalve.core.protocol;
 
 /**
- * Sent by a new holder of the term to the one before: its term is over.
+ * Sent by a new term holder to the previous one: its term has ended.
  *
- * @param term the new holder's term
+ * @param term the term of the new holder
  * @since 0.2
  */
 public record TermSuperseded(long term) implements FleetMessage {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TrialRequest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TrialRequest.java
@@ -3,10 +3,10 @@
 import io.cuminvalve.core.quarantine.RequestFingerprint;
 
 /**
- * Sent by a gateway to the holder of the term: it has a request under which targets have ended, and
- * would send one as a trial.
+ * Sent by a gateway to the term holder to ask for permission to send, as a trial, a quarantined
+ * request during which targets have crashed.
  *
- * @param fingerprint the request's; not null
+ * @param fingerprint the fingerprint of the request; not null
  * @since 0.2
  */
 public record TrialRequest(RequestFingerprint fingerprint) implements FleetMessage {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between the processes of cuminvalve. */
+/** Messages exchanged between cuminvalve processes. */
 package io.cuminvalve.core.protocol;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/CrashHistory.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/CrashHistory.java
@@ -6,16 +6,17 @@
 import java.util.List;
 
 /**
- * What is known of one request: which targets ended while they ran it, and whether one answered it.
+ * Crash history of one request: the targets that crashed while executing it, and whether a target
+ * has answered it.
  *
- * <p>Crashes that were under way at the same time count once: a request that many callers make is
- * at several targets when a rack fails, and did not cause it. One that causes crashes comes to the
- * next target after the last one has ended.
+ * <p>Executions that overlap in time count as one crash: a request that many callers send is in
+ * flight at several targets when a rack fails, without having caused the failure. A request that
+ * causes crashes reaches its next target only after the previous one has crashed.
  */
 final class CrashHistory {
 
-  /** Enough to tell three in a row, with some at the same time among them. */
-  private static final int MOST_RUNS = 8;
+  /** Sufficient to detect three consecutive crashes among overlapping ones. */
+  private static final int MAX_RUNS = 8;
 
   private final RequestFingerprint fingerprint;
   private final List<CrashedRun> runs = new ArrayList<>();
@@ -26,7 +27,10 @@
     this.fingerprint = fingerprint;
   }
 
-  /** Adds a crash. Tells whether it is news: one before an answer counts for nothing. */
+  /**
+   * Adds a crash. Returns whether it is new and relevant: a crash before the last answer is
+   * ignored.
+   */
   boolean add(CrashedRun run, long nowMs) {
     boolean known = runs.stream().anyMatch(other -> other.target().equals(run.target()));
     if (known || run.endedMs() <= answeredMs) {
@@ -34,14 +38,14 @@
     }
     runs.add(run);
     runs.sort(Comparator.comparingLong(CrashedRun::endedMs));
-    if (runs.size() > MOST_RUNS) {
+    if (runs.size() > MAX_RUNS) {
       runs.remove(0);
     }
     changedMs = nowMs;
     return true;
   }
 
-  /** A target ran the request and answered. Tells whether that clears it of a crash. */
+  /** Records that a target answered the request. Returns whether this clears any crash. */
   boolean onAnswer(long atMs, long nowMs) {
     if (atMs <= answeredMs) {
       return false;
@@ -54,9 +58,12 @@
     return cleared;
   }
 
-  /** Returns how many targets ended one after the other, each sent the request after the last. */
-  int crashesInRow() {
-    if (isOfSeveralCallers() && hasOneCaller()) {
+  /**
+   * Returns the number of targets that crashed in sequence, each sent the request after the
+   * previous crash.
+   */
+  int consecutiveCrashes() {
+    if (isSharedByCallers() && allFromOneCaller()) {
       return Math.min(1, runs.size());
     }
     int count = 0;
@@ -70,21 +77,21 @@
     return count;
   }
 
-  /** Others who ask for the same are not to suffer for what one caller does. */
-  private boolean hasOneCaller() {
+  /** Crashes caused by a single caller must not quarantine the same request of other callers. */
+  private boolean allFromOneCaller() {
     return runs.stream().map(CrashedRun::caller).distinct().count() == 1;
   }
 
-  private boolean isOfSeveralCallers() {
+  private boolean isSharedByCallers() {
     return runs.stream().anyMatch(run -> !run.caller().equals(fingerprint));
   }
 
-  /** Returns when a target ended last; a time of the clock, milliseconds. */
+  /** Returns the time of the last crash on the local clock, in milliseconds. */
   long lastEndedMs() {
     return runs.isEmpty() ? Long.MIN_VALUE : runs.get(runs.size() - 1).endedMs();
   }
 
-  /** Returns when something was learnt last; a time of the clock, milliseconds. */
+  /** Returns the time of the last change to this history on the local clock, in milliseconds. */
   long changedMs() {
     return changedMs;
   }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/CrashReport.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/CrashReport.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * What a process knows of a request under which targets ended. Clocks of processes differ, so times
- * are told as ages.
+ * Crash history of one request, as reported by one process. Times are given as ages because the
+ * clocks of processes differ.
  *
- * @param fingerprint the request's; not null
- * @param runs the targets that ended; not null
- * @param answeredAgeMs how long ago a target answered it; milliseconds; {@link #NOT_ANSWERED} if
- *     that is not known
+ * @param fingerprint the fingerprint of the request; not null
+ * @param runs the executions during which targets crashed; not null
+ * @param answeredAgeMs time since a target answered the request; milliseconds; {@link
+ *     #NOT_ANSWERED} if no answer is known
  * @since 0.2
  */
 public record CrashReport(
     RequestFingerprint fingerprint, List<ReportedRun> runs, long answeredAgeMs) {
 
-  /** Stands for an age of which nothing is known. */
+  /** Value of {@code answeredAgeMs} if no answer is known. */
   public static final long NOT_ANSWERED = -1;
 
   /** Copies the list. */
@@ -25,21 +25,21 @@
   }
 
   /**
-   * Tells whether a target has answered the request.
+   * Returns whether a target is known to have answered the request.
    *
-   * @return false if that is not known
+   * @return false if no answer is known
    */
   public boolean isAnswered() {
     return answeredAgeMs >= 0;
   }
 
   /**
-   * A target that ended while it ran the request.
+   * A target crash during the execution of the request.
    *
-   * @param target the run of the target; not null
+   * @param target the target incarnation; not null
    * @param caller the fingerprint of the request with its caller; not null
-   * @param sentAgeMs how long ago the request was sent to it; milliseconds
-   * @param endedAgeMs how long ago its connection broke; milliseconds
+   * @param sentAgeMs time since the request was sent to the target; milliseconds
+   * @param endedAgeMs time since the connection to the target broke; milliseconds
    */
   public record ReportedRun(
       TargetId target, RequestFingerprint caller, long sentAgeMs, long endedAgeMs) {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/CrashTracker.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/CrashTracker.java
@@ -13,79 +13,86 @@
 import java.util.Set;
 
 /**
- * Remembers which requests targets ended under, and decides which of them are sent no more.
+ * Tracks the requests during which targets crashed, and decides which of them to quarantine.
  *
- * <p>Facts only grow and are the same in whatever order they arrive, so that several processes can
- * tell one another and come to the same decision without a holder. An answer clears a request of
- * all crashes before it. Times are those of the clock of this process. Not safe for use by several
- * threads.
+ * <p>The state only grows, and merging reports is commutative, so that processes that exchange
+ * reports reach the same decision without a term holder. An answer clears a request of all earlier
+ * crashes. Times refer to the local clock. Not thread-safe.
  *
  * @since 0.2
  */
 public final class CrashTracker {
 
-  /** Two may be bad luck in a bad minute; each further one costs callers a target. */
+  /**
+   * Two consecutive crashes may be a coincidence; each further one takes another target from
+   * callers.
+   */
   static final int QUARANTINE_CRASHES = 3;
 
-  /** From here on the whole fleet looks out for an answer. */
+  /**
+   * From this number of consecutive crashes on, the whole fleet watches for an answer to the
+   * request.
+   */
   static final int WATCH_CRASHES = 2;
 
   /**
-   * The first quarantine. A request that was merely there when targets crashed waits no longer, and
-   * one that is at fault costs a target each time it is tried again.
+   * Length of the first quarantine. It limits the delay of a request that was merely in flight when
+   * targets crashed; a request that causes crashes costs one target per trial.
    */
-  static final long FIRST_QUARANTINE_MS = 30_000;
+  static final long INITIAL_QUARANTINE_MS = 30_000;
 
-  /** How much longer the next quarantine is, if the trial after one ends a target again. */
-  private static final int GROWTH = 4;
+  /** Factor by which the quarantine grows each time the trial after it crashes a target again. */
+  private static final int QUARANTINE_GROWTH_FACTOR = 4;
 
-  /** Short enough to notice within a working hour that targets were mended. */
-  static final long LONGEST_QUARANTINE_MS = 15 * 60_000L;
+  /** Short enough to detect within an hour that the targets have been fixed. */
+  static final long MAX_QUARANTINE_MS = 15 * 60_000L;
 
-  /** Until then one crash is enough for the next quarantine. */
+  /** Time after a quarantine decision during which a single crash starts the next quarantine. */
   static final long PROBATION_MS = 60 * 60_000L;
 
-  /** Crashes further apart than this have nothing to do with one another. */
-  static final long SUSPICION_MS = 10 * 60_000L;
+  /** Crashes further apart than this are considered unrelated. */
+  static final long CRASH_RETENTION_MS = 10 * 60_000L;
 
-  /** Bounds the memory to some 400 KB, also when a rack with thousands of requests is lost. */
-  static final int MOST_REQUESTS = 512;
+  /**
+   * Bounds the memory to about 400 KB, even if a rack with thousands of requests in flight fails.
+   */
+  static final int MAX_REQUESTS = 512;
 
-  private final double lateShare;
+  private final double jitterFraction;
   private final Map<RequestFingerprint, CrashHistory> histories = new LinkedHashMap<>();
 
   /**
-   * Creates a ledger that knows of nothing.
+   * Creates an empty tracker.
    *
-   * @param lateShare by which share of its length this process ends a quarantine later than the
-   *     first one may; 0 to 1, another one for each process
+   * @param jitterFraction fraction of the quarantine length by which this process extends each
+   *     quarantine; 0 to 1, different in each process
    */
-  public CrashTracker(double lateShare) {
-    this.lateShare = lateShare;
+  public CrashTracker(double jitterFraction) {
+    this.jitterFraction = jitterFraction;
   }
 
   /**
-   * Notes that a target ended under a request.
+   * Records that a target crashed while executing a request.
    *
-   * @param fingerprint the request's; not null
-   * @param run what was seen; not null
-   * @param nowMs the time; milliseconds
-   * @return whether it is news
+   * @param fingerprint the fingerprint of the request; not null
+   * @param run the observed crash; not null
+   * @param nowMs the current time; milliseconds
+   * @return whether the crash is new
    */
   public boolean onCrash(RequestFingerprint fingerprint, CrashedRun run, long nowMs) {
     CrashHistory history = histories.computeIfAbsent(fingerprint, CrashHistory::new);
-    boolean news = history.add(run, nowMs);
-    forget(nowMs);
-    return news;
+    boolean changed = history.add(run, nowMs);
+    evict(nowMs);
+    return changed;
   }
 
   /**
-   * Notes that a target ran a request and answered it.
+   * Records that a target answered a request.
    *
-   * @param fingerprint the request's; not null
-   * @param answeredMs when; a time of the clock; milliseconds
-   * @param nowMs the time; milliseconds
-   * @return whether that clears it of a crash
+   * @param fingerprint the fingerprint of the request; not null
+   * @param answeredMs time of the answer on the local clock; milliseconds
+   * @param nowMs the current time; milliseconds
+   * @return whether this clears the request of any crash
    */
   public boolean onAnswer(RequestFingerprint fingerprint, long answeredMs, long nowMs) {
     CrashHistory history = histories.get(fingerprint);
@@ -93,33 +100,34 @@
   }
 
   /**
-   * Takes what another process knows of a request.
+   * Merges a report of another process.
    *
-   * @param report what it knows; not null
-   * @param nowMs the time; milliseconds
-   * @return whether anything of it is news
+   * @param report the report; not null
+   * @param nowMs the current time; milliseconds
+   * @return whether the report contained anything new
    */
   public boolean merge(CrashReport report, long nowMs) {
     RequestFingerprint fingerprint = report.fingerprint();
     CrashHistory history = histories.computeIfAbsent(fingerprint, CrashHistory::new);
-    boolean news = report.isAnswered() && history.onAnswer(nowMs - report.answeredAgeMs(), nowMs);
+    boolean changed =
+        report.isAnswered() && history.onAnswer(nowMs - report.answeredAgeMs(), nowMs);
     for (ReportedRun run : report.runs()) {
-      news |=
+      changed |=
           history.add(
               new CrashedRun(
                   run.target(), run.caller(), nowMs - run.sentAgeMs(), nowMs - run.endedAgeMs()),
               nowMs);
     }
-    forget(nowMs);
-    return news;
+    evict(nowMs);
+    return changed;
   }
 
   /**
-   * Returns what is known of some requests.
+   * Returns reports on the given requests.
    *
-   * @param fingerprints which ones; not null
-   * @param nowMs the time; milliseconds
-   * @return one report for each of which something is known; never null
+   * @param fingerprints the fingerprints of the requests; not null
+   * @param nowMs the current time; milliseconds
+   * @return one report for each request with a known history; never null
    */
   public List<CrashReport> reports(Collection<RequestFingerprint> fingerprints, long nowMs) {
     List<CrashReport> reports = new ArrayList<>();
@@ -131,17 +139,18 @@
   }
 
   /**
-   * Returns the requests that every process has to know of: two crashes in a row or more.
+   * Returns the requests that all processes must watch: those with at least two consecutive
+   * crashes.
    *
-   * @param nowMs the time; milliseconds
+   * @param nowMs the current time; milliseconds
    * @return never null
    */
   public Set<RequestFingerprint> watched(long nowMs) {
-    forget(nowMs);
+    evict(nowMs);
     Set<RequestFingerprint> watched = new HashSet<>();
     histories.forEach(
         (fingerprint, history) -> {
-          if (history.crashesInRow() >= WATCH_CRASHES) {
+          if (history.consecutiveCrashes() >= WATCH_CRASHES) {
             watched.add(fingerprint);
           }
         });
@@ -149,19 +158,20 @@
   }
 
   /**
-   * Returns the requests that are sent to no target, and until when.
+   * Returns the quarantined requests and the end of each quarantine.
    *
-   * <p>A time may be over: then the request is on probation, and one may be sent as a trial.
+   * <p>The end may have passed: the request is then on probation, and one request may be sent as a
+   * trial.
    *
-   * @param nowMs the time; milliseconds
-   * @return a time of the clock for each; milliseconds; never null
+   * @param nowMs the current time; milliseconds
+   * @return the end of each quarantine on the local clock; milliseconds; never null
    */
   public Map<RequestFingerprint, Long> quarantinedUntilMs(long nowMs) {
-    forget(nowMs);
+    evict(nowMs);
     Map<RequestFingerprint, Long> quarantined = new HashMap<>();
     histories.forEach(
         (fingerprint, history) -> {
-          int crashes = history.crashesInRow();
+          int crashes = history.consecutiveCrashes();
           if (crashes >= QUARANTINE_CRASHES) {
             quarantined.put(fingerprint, history.lastEndedMs() + quarantineMs(crashes));
           }
@@ -169,20 +179,23 @@
     return quarantined;
   }
 
-  /** Processes try at different times: the first to do so tells the others how it went. */
+  /**
+   * The jitter spreads trials over processes, so that the first one can report its result to the
+   * others.
+   */
   private long quarantineMs(int crashes) {
-    long lengthMs = FIRST_QUARANTINE_MS;
+    long lengthMs = INITIAL_QUARANTINE_MS;
     for (int i = QUARANTINE_CRASHES; i < crashes; i++) {
-      lengthMs = Math.min(LONGEST_QUARANTINE_MS, lengthMs * GROWTH);
+      lengthMs = Math.min(MAX_QUARANTINE_MS, lengthMs * QUARANTINE_GROWTH_FACTOR);
     }
-    return lengthMs + (long) (lengthMs * lateShare);
+    return lengthMs + (long) (lengthMs * jitterFraction);
   }
 
   /**
    * Returns the crashes that count against a request.
    *
-   * @param fingerprint the request's; not null
-   * @return in the order of their times; never null
+   * @param fingerprint the fingerprint of the request; not null
+   * @return in chronological order; never null
    */
   public List<CrashedRun> crashesOf(RequestFingerprint fingerprint) {
     CrashHistory history = histories.get(fingerprint);
@@ -190,31 +203,32 @@
   }
 
   /**
-   * Tells whether an answer cleared a request of crashes that others may still know of.
+   * Returns whether a target has answered the request, which clears crashes that other processes
+   * may still count.
    *
-   * @param fingerprint the request's; not null
-   * @return whether it was answered
+   * @param fingerprint the fingerprint of the request; not null
+   * @return whether an answer is known
    */
   public boolean wasAnswered(RequestFingerprint fingerprint) {
     CrashHistory history = histories.get(fingerprint);
     return history != null && history.wasAnswered();
   }
 
-  private void forget(long nowMs) {
-    histories.values().removeIf(history -> isOver(history, nowMs));
-    while (histories.size() > MOST_REQUESTS) {
+  private void evict(long nowMs) {
+    histories.values().removeIf(history -> isExpired(history, nowMs));
+    while (histories.size() > MAX_REQUESTS) {
       histories.entrySet().stream()
-          .min(Comparator.comparing(Map.Entry::getValue, LEAST_SUSPECT))
+          .min(Comparator.comparing(Map.Entry::getValue, LEAST_SUSPECT_FIRST))
           .ifPresent(least -> histories.remove(least.getKey()));
     }
   }
 
-  private static boolean isOver(CrashHistory history, long nowMs) {
-    boolean convicted = history.crashesInRow() >= QUARANTINE_CRASHES;
-    return nowMs - history.changedMs() > (convicted ? PROBATION_MS : SUSPICION_MS);
+  private static boolean isExpired(CrashHistory history, long nowMs) {
+    boolean isQuarantined = history.consecutiveCrashes() >= QUARANTINE_CRASHES;
+    return nowMs - history.changedMs() > (isQuarantined ? PROBATION_MS : CRASH_RETENTION_MS);
   }
 
-  private static final Comparator<CrashHistory> LEAST_SUSPECT =
-      Comparator.comparingInt(CrashHistory::crashesInRow)
+  private static final Comparator<CrashHistory> LEAST_SUSPECT_FIRST =
+      Comparator.comparingInt(CrashHistory::consecutiveCrashes)
           .thenComparingLong(CrashHistory::changedMs);
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/RequestFingerprint.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/RequestFingerprint.java
@@ -6,11 +6,11 @@
 import java.util.OptionalInt;
 
 /**
- * Identifies what a request asks for, whoever takes it and however often it comes.
+ * Identifies the content of a request, independent of the target that handles it and of retries.
  *
- * <p>Attempts have ids of their own, so the id of one says nothing of the next. Two requests have
- * the same fingerprint if method, host, path, query, key and body are the same; two others share it
- * by chance once in 2^64.
+ * <p>Each attempt has its own id, so attempt ids cannot correlate retries. Two requests have the
+ * same fingerprint if their method, host, path, query, key and body are equal; two different
+ * requests collide with a probability of 2^-64.
  *
  * @param value the hash
  * @since 0.2
@@ -25,9 +25,9 @@
    * Returns the fingerprint of a request.
    *
    * @param method the HTTP method; not null
-   * @param host the host that it names; not null
-   * @param pathAndQuery path and query, as they are sent on; not null
-   * @param key its key, if its service has keys; not null
+   * @param host the requested host; not null
+   * @param pathAndQuery path and query as forwarded to the target; not null
+   * @param key the key, if the service is keyed; not null
    * @param body the body; empty if there is none; not null
    * @return never null
    */
@@ -43,16 +43,16 @@
   }
 
   /**
-   * Returns the fingerprint of the same request by one caller.
+   * Returns the fingerprint of this request in combination with its caller.
    *
    * @param caller identifies the caller; not null
-   * @return another fingerprint; never null
+   * @return the combined fingerprint; never null
    */
   public RequestFingerprint by(String caller) {
     return new RequestFingerprint(HASHER.hashStream().putLong(value).putString(caller).getAsLong());
   }
 
-  /** Returns 16 hexadecimal digits. */
+  /** Returns the value as 16 hexadecimal digits. */
   @Override
   public String toString() {
     return String.format("%016x", value);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/RequestIdentity.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/RequestIdentity.java
@@ -1,19 +1,18 @@
 package io.cuminvalve.core.quarantine;
 
 /**
- * By what a request is recognised when it comes again.
+ * The fingerprints by which a repeated request is recognised.
  *
- * <p>Some callers share what they ask for with others, and only the combination with something that
- * one of them does may be harmful; other callers come back under another address. So both are
- * followed.
+ * <p>Both are tracked: several callers may send the same content while only one of them sends it in
+ * a harmful way, and a caller may return under a different address.
  *
- * @param content what is asked for; not null
- * @param contentAndCaller what is asked for, and by whom; not null
+ * @param content fingerprint of the content; not null
+ * @param contentAndCaller fingerprint of the content and the caller; not null
  * @since 0.2
  */
 public record RequestIdentity(RequestFingerprint content, RequestFingerprint contentAndCaller) {
 
-  /** Returns both, for the log. */
+  /** Returns both fingerprints, for the log. */
   @Override
   public String toString() {
     return content + "." + contentAndCaller;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Requests under which targets crash: how they are recognised, and when they are refused. */
+/** Detection and quarantine of requests that crash targets. */
 package io.cuminvalve.core.quarantine;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/quarantine/RequestFingerprintTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/quarantine/RequestFingerprintTest.java
@@ -11,13 +11,13 @@
   private static final RequestFingerprint PLAIN = of("GET", "a.example", "/x/1", 7, "");
 
   @Test
-  void theSameRequestHasTheSameFingerprint() {
+  void equalRequestsHaveEqualFingerprints() {
     assertThat(of("GET", "a.example", "/x/1", 7, "")).isEqualTo(PLAIN);
     assertThat(PLAIN.by("10.0.0.1")).isEqualTo(PLAIN.by("10.0.0.1"));
   }
 
   @Test
-  void whateverIsAskedForMatters() {
+  void everyPartOfContentMatters() {
     assertThat(of("POST", "a.example", "/x/1", 7, "")).isNotEqualTo(PLAIN);
     assertThat(of("GET", "b.example", "/x/1", 7, "")).isNotEqualTo(PLAIN);
     assertThat(of("GET", "a.example", "/x/1?a=1", 7, "")).isNotEqualTo(PLAIN);
@@ -26,18 +26,18 @@
   }
 
   @Test
-  void theCallerMattersOnlyInItsOwnFingerprint() {
+  void callerMattersOnlyInCombinedFingerprint() {
     assertThat(PLAIN.by("10.0.0.1")).isNotEqualTo(PLAIN);
     assertThat(PLAIN.by("10.0.0.1")).isNotEqualTo(PLAIN.by("10.0.0.2"));
   }
 
   @Test
-  void partsDoNotRunIntoOneAnother() {
+  void adjacentPartsAreDelimited() {
     assertThat(of("GET", "a", "b/x", 7, "")).isNotEqualTo(of("GET", "ab", "/x", 7, ""));
   }
 
   @Test
-  void itIsWrittenWithSixteenDigits() {
+  void toStringHasSixteenDigits() {
     assertThat(new RequestFingerprint(10).toString()).isEqualTo("000000000000000a");
   }
 
