--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeEffect.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeEffect.java
@@ -1,75 +1,75 @@
 package io.cuminvalve.core.exchange;
 
 /**
- * Something to be done for a request, in the order in which effects are returned.
+ * An action to take for a request. Effects are applied in the order in which they are returned.
  *
  * @since 0.2
  */
 public sealed interface ExchangeEffect {
 
   /**
-   * Look for a slot at a target.
+   * Acquire a slot at a target.
    *
-   * @param patienceMs after which time to report that there was none; milliseconds
+   * @param patienceMs time after which to report that no slot was available; milliseconds
    */
   record AcquireSlot(long patienceMs) implements ExchangeEffect {}
 
-  /** Look for a slot no longer. */
+  /** Cancel the pending slot acquisition. */
   record CancelSlotRequest() implements ExchangeEffect {}
 
-  /** Send the request to the target whose slot was given. */
+  /** Send the request to the target whose slot was acquired. */
   record Send() implements ExchangeEffect {}
 
-  /** Give the slot back unused: it came too late. */
+  /** Return the slot unused because it arrived after the final answer. */
   record ReturnSlot() implements ExchangeEffect {}
 
-  /** Do not look at the target of the last attempt again. */
+  /** Exclude the target of the last attempt from further attempts. */
   record AvoidTarget() implements ExchangeEffect {}
 
   /**
-   * Look for newer owners of the key; after a pause ask the same one again.
+   * Wait for newer ownership data of the key; after the pause, try the same owner again.
    *
-   * @param pauseMs how long; milliseconds
+   * @param pauseMs the pause; milliseconds
    */
   record AwaitNewerOwners(long pauseMs) implements ExchangeEffect {}
 
   /**
-   * End the attempt that is under way and close its connection.
+   * Abort the current attempt and close its connection.
    *
-   * @param late whether the target took too long, which counts against it
+   * @param late whether the attempt timed out, which counts as a failure of the target
    */
   record Abandon(boolean late) implements ExchangeEffect {}
 
   /**
-   * Pass the target's answer on. Final.
+   * Relay the target's answer to the caller. Final.
    *
-   * @param failed whether the target says that it failed
+   * @param failed whether the answer has an error status
    */
   record Relay(boolean failed) implements ExchangeEffect {}
 
   /**
-   * Answer that the request has not run and never will. Final.
+   * Respond that the request has not run and will not run. Final.
    *
-   * @param retryAfterMs when the caller should come back; milliseconds
-   * @param reason for the log; not null
+   * @param retryAfterMs delay after which the caller may retry; milliseconds
+   * @param reason the reason, for the log; not null
    */
   record Refuse(long retryAfterMs, String reason) implements ExchangeEffect {}
 
   /**
-   * Answer that nothing is known of whether the request ran. Final.
+   * Respond that the request may or may not have run. Final.
    *
-   * @param timedOut whether its time is over, rather than that the connection to the target broke
-   * @param reason for the log; not null
+   * @param timedOut whether the request timed out; false if the connection to the target broke
+   * @param reason the reason, for the log; not null
    */
   record GiveUp(boolean timedOut, String reason) implements ExchangeEffect {}
 
-  /** The caller is gone: nothing is left to answer. Final. */
+  /** Discard the request without a response because the caller has disconnected. Final. */
   record Drop() implements ExchangeEffect {}
 
   /**
-   * Tells whether nothing follows.
+   * Returns whether this effect ends the request.
    *
-   * @return true for the one effect that ends a request
+   * @return true for exactly one effect of each request
    */
   default boolean isFinal() {
     return this instanceof Relay
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeProfile.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeProfile.java
@@ -1,14 +1,14 @@
 package io.cuminvalve.core.exchange;
 
 /**
- * What matters of a request for the decisions on it.
+ * The properties of a request that determine how it is handled.
  *
  * @param idempotent whether it may run more than once
  * @param keyed whether only the owner of its key may run it
- * @param maxAttempts on how many targets it may run at most
- * @param latencyObjectiveMs within which time its answer is due; milliseconds
- * @param arrivedMs when its head was read; milliseconds
- * @param deadlineMs by when it has to be answered; milliseconds
+ * @param maxAttempts maximum number of targets on which it may run
+ * @param latencyObjectiveMs latency objective of the answer; milliseconds
+ * @param arrivedMs time at which the request head was read; milliseconds
+ * @param deadlineMs time by which it must be answered; milliseconds
  * @since 0.2
  */
 public record ExchangeProfile(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeStateMachine.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/ExchangeStateMachine.java
@@ -5,39 +5,39 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Decides what happens to one request until it has its one final answer.
+ * State machine of one request, from its arrival to its single final answer.
  *
- * <p>A request that is not idempotent goes to another target only after a proof that it did not
- * run. One that waits for a slot is refused early, while the caller can still go elsewhere. Once
- * its time is over the final answer goes out at once. Events after the final answer have no effect
- * but that slots are given back. Not safe for use by several threads.
+ * <p>A request that is not idempotent is sent to another target only after proof that it did not
+ * run. A request that waits for a slot is refused early, while the caller still has time to retry
+ * elsewhere. At the deadline the final answer is sent immediately. Events after the final answer
+ * have no effect, except that slots are returned. Not thread-safe.
  *
  * @since 0.2
  */
 public final class ExchangeStateMachine {
 
-  /** How long a request may wait for a slot, as a part of the time within which it is due. */
-  private static final double WAIT_SHARE = 0.25;
+  /** Maximum wait for a slot, as a fraction of the latency objective. */
+  private static final double SLOT_WAIT_FRACTION = 0.25;
 
-  /** Taken off that time: the way to the caller and back, and timers that fire late. */
-  private static final long WAIT_RESERVE_MS = 30;
+  /** Subtracted from that wait to allow for the round trip to the caller and for late timers. */
+  private static final long SLOT_WAIT_RESERVE_MS = 30;
 
-  /** When a caller whose request did not run should come back: a move of keys is over by then. */
+  /** Retry delay for a request that did not run; sufficient for a move of keys to complete. */
   private static final long RETRY_AFTER_MS = 250;
 
-  /** The same if the target that it needs has too much to do: that lasts longer than a move. */
+  /** Retry delay if the required target is overloaded, which lasts longer than a move of keys. */
   private static final long BUSY_RETRY_AFTER_MS = 500;
 
-  /** Pause before a request is offered again to the same owner. */
-  private static final long SAME_OWNER_PAUSE_MS = 40;
+  /** Delay before a request is retried at the same owner. */
+  private static final long SAME_OWNER_RETRY_DELAY_MS = 40;
 
-  /** Proofs that a request did not run after which it is refused. */
+  /** Number of attempts that provably did not run after which a request is refused. */
   private static final int MAX_REFUSALS = 4;
 
-  /** Answers from here on say that the target failed. */
+  /** The lowest HTTP status that counts as a failure of the target. */
   private static final int FIRST_ERROR_STATUS = 500;
 
-  /** Says in the log why a request was not sent on. */
+  /** Reason in the log for a request that was not forwarded. */
   private static final String QUARANTINED = "quarantined";
 
   private static final String LIMITED = "target_limited";
@@ -47,7 +47,7 @@
   private static final String STUCK_KEY = "key_stuck";
 
   private final ExchangeProfile profile;
-  private final BooleanSupplier budget;
+  private final BooleanSupplier retryBudget;
   private boolean done;
   private boolean sending;
   private boolean mayHaveRun;
@@ -55,35 +55,36 @@
   private int refusals;
 
   /**
-   * Creates the machine of one request.
+   * Creates the state machine of one request.
    *
-   * @param profile what matters of it; not null
-   * @param budget takes one repeat from the shared budget, or says that there is none; not null
+   * @param profile the properties of the request; not null
+   * @param retryBudget takes one retry from the shared budget and returns whether one was
+   *     available; not null
    */
-  public ExchangeStateMachine(ExchangeProfile profile, BooleanSupplier budget) {
+  public ExchangeStateMachine(ExchangeProfile profile, BooleanSupplier retryBudget) {
     this.profile = profile;
-    this.budget = budget;
+    this.retryBudget = retryBudget;
   }
 
   /**
-   * Begins.
+   * Starts the request.
    *
-   * @param turnedAway whether the owner of its key cannot bear all requests for it, and this one is
-   *     among those that are refused
-   * @param nowMs the time; milliseconds
-   * @return what to do; never null
+   * @param shed whether to shed this request because the owner of its key cannot handle all
+   *     requests sent to it
+   * @param nowMs the current time; milliseconds
+   * @return the effects to apply; never null
    */
-  public List<ExchangeEffect> onStart(boolean turnedAway, long nowMs) {
+  public List<ExchangeEffect> onStart(boolean shed, long nowMs) {
     if (done) {
       return List.of();
     }
-    return turnedAway ? end("overload_busy") : List.of(seek(nowMs));
+    return shed ? end("overload_busy") : List.of(acquireSlot(nowMs));
   }
 
   /**
-   * There is a slot.
+   * Handles an acquired slot.
    *
-   * @return what to do; never null
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onSlot() {
     if (done) {
@@ -94,61 +95,62 @@
   }
 
   /**
-   * There was no slot in time.
+   * Handles the timeout of the slot acquisition.
    *
-   * @param reason why, for the log; not null
-   * @return what to do; never null
+   * @param reason the reason, for the log; not null
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onNoSlot(String reason) {
     return done ? List.of() : end(reason);
   }
 
   /**
-   * Targets have ended under requests like this one: it goes to none any more.
+   * Handles the quarantine of the request, after targets crashed during requests like this one: it
+   * is sent to no further target.
    *
-   * @param retryAfterMs when that is looked at again; milliseconds
-   * @return what to do; never null
+   * @param retryAfterMs delay until the quarantine is reviewed; milliseconds
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onQuarantined(long retryAfterMs) {
     return done ? List.of() : end(QUARANTINED, retryAfterMs);
   }
 
   /**
-   * Targets that may run it have named limits, and take no more for now.
+   * Handles rate limits: all eligible targets have reached the limits that they announced.
    *
-   * @param retryAfterMs when they do; milliseconds
-   * @return what to do; never null
+   * @param retryAfterMs delay until they accept requests again; milliseconds
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onLimited(long retryAfterMs) {
     return done ? List.of() : end(LIMITED, retryAfterMs);
   }
 
   /**
-   * Targets that may run it have asked for rest.
+   * Handles back-offs: all eligible targets have requested one.
    *
-   * @param retryAfterMs when the first rest is over; milliseconds
-   * @return what to do; never null
+   * @param retryAfterMs delay until the first back-off ends; milliseconds
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onResting(long retryAfterMs) {
     return done ? List.of() : end(RESTING, retryAfterMs);
   }
 
   /**
-   * The owner of its key cannot run it, and the key cannot move for now.
+   * Handles a key whose owner cannot run the request and that cannot be moved at present.
    *
-   * @param retryAfterMs when that is worth another look; milliseconds
-   * @return what to do; never null
+   * @param retryAfterMs delay after which a retry may succeed; milliseconds
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onStuckKey(long retryAfterMs) {
     return done ? List.of() : end(STUCK_KEY, retryAfterMs);
   }
 
   /**
-   * The target answered, whole: the request ran.
+   * Handles a complete answer of the target, which proves that the request ran.
    *
    * @param status the HTTP status
-   * @param nowMs the time; milliseconds
-   * @return what to do; never null
+   * @param nowMs the current time; milliseconds
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onAnswer(int status, long nowMs) {
     if (done) {
@@ -158,18 +160,18 @@
     mayHaveRun = true;
     runs++;
     boolean failed = status >= FIRST_ERROR_STATUS;
-    if (failed && !profile.keyed() && mayRunAgain(nowMs)) {
-      return List.of(new ExchangeEffect.AvoidTarget(), seek(nowMs));
+    if (failed && !profile.keyed() && mayRetry(nowMs)) {
+      return List.of(new ExchangeEffect.AvoidTarget(), acquireSlot(nowMs));
     }
     done = true;
     return List.of(new ExchangeEffect.Relay(failed));
   }
 
   /**
-   * The target proved that it did not run the request and never will.
+   * Handles proof from the target that it has not run the request and will not run it.
    *
-   * @param nowMs the time; milliseconds
-   * @return what to do; never null
+   * @param nowMs the current time; milliseconds
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onNotExecuted(long nowMs) {
     if (done) {
@@ -177,41 +179,41 @@
     }
     sending = false;
     refusals++;
-    // A target that refuses has got the request: the budget counts that too.
-    boolean repeats = refusals < MAX_REFUSALS && hasTime(nowMs) && budget.getAsBoolean();
-    return repeats ? repeat(nowMs) : end("refused_by_target");
+    // A refused request was sent to the target, so it also counts against the retry budget.
+    boolean retries = refusals < MAX_REFUSALS && hasTime(nowMs) && retryBudget.getAsBoolean();
+    return retries ? retry(nowMs) : end("refused_by_target");
   }
 
   /**
-   * An attempt ended without a usable answer.
+   * Handles an attempt that ended without a usable answer.
    *
-   * @param mayHaveRunThere whether a byte of it may have reached the target
-   * @param reason why, for the log; not null
-   * @param nowMs the time; milliseconds
-   * @return what to do; never null
+   * @param mayHaveRunThere whether any byte of the request may have reached the target
+   * @param reason the reason, for the log; not null
+   * @param nowMs the current time; milliseconds
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onFailure(boolean mayHaveRunThere, String reason, long nowMs) {
     if (done) {
       return List.of();
     }
     sending = false;
-    boolean repeats;
+    boolean retries;
     if (mayHaveRunThere) {
       mayHaveRun = true;
       runs++;
-      repeats = mayRunAgain(nowMs);
+      retries = mayRetry(nowMs);
     } else {
       refusals++;
-      repeats = refusals < MAX_REFUSALS && hasTime(nowMs);
+      retries = refusals < MAX_REFUSALS && hasTime(nowMs);
     }
-    return repeats ? repeat(nowMs) : end(reason);
+    return retries ? retry(nowMs) : end(reason);
   }
 
   /**
-   * The caller's time or the route's timeout is over.
+   * Handles expiry of the caller's deadline or the route's timeout.
    *
-   * @param handedOver whether a byte of the attempt under way may have reached the target
-   * @return what to do; never null
+   * @param handedOver whether any byte of the current attempt may have reached the target
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onDeadline(boolean handedOver) {
     if (done) {
@@ -232,9 +234,9 @@
   }
 
   /**
-   * The caller closed its connection.
+   * Handles a closed caller connection.
    *
-   * @return what to do; never null
+   * @return the effects to apply; never null
    */
   public List<ExchangeEffect> onCallerGone() {
     if (done) {
@@ -251,7 +253,7 @@
   }
 
   /**
-   * Tells whether the final answer has been decided.
+   * Returns whether the final answer has been decided.
    *
    * @return true if nothing more may be sent
    */
@@ -260,7 +262,7 @@
   }
 
   /**
-   * Returns on how many targets the request ran, or may have.
+   * Returns the number of targets on which the request ran or may have run.
    *
    * @return at least 0
    */
@@ -269,7 +271,7 @@
   }
 
   /**
-   * Returns how many attempts provably did not run.
+   * Returns the number of attempts that provably did not run.
    *
    * @return at least 0
    */
@@ -277,37 +279,40 @@
     return refusals;
   }
 
-  private ExchangeEffect seek(long nowMs) {
+  private ExchangeEffect acquireSlot(long nowMs) {
     long limitMs =
-        profile.arrivedMs() + (long) (profile.latencyObjectiveMs() * WAIT_SHARE) - WAIT_RESERVE_MS;
-    return new ExchangeEffect.AcquireSlot(Math.max(SAME_OWNER_PAUSE_MS, limitMs - nowMs));
+        profile.arrivedMs()
+            + (long) (profile.latencyObjectiveMs() * SLOT_WAIT_FRACTION)
+            - SLOT_WAIT_RESERVE_MS;
+    return new ExchangeEffect.AcquireSlot(Math.max(SAME_OWNER_RETRY_DELAY_MS, limitMs - nowMs));
   }
 
-  private List<ExchangeEffect> repeat(long nowMs) {
-    // Only the owner of a key may run it: either somebody else is by now, or the pause helps.
-    ExchangeEffect elsewhere =
+  private List<ExchangeEffect> retry(long nowMs) {
+    // Only the owner of a key may run the request: either ownership has changed, or a short delay
+    // helps.
+    ExchangeEffect beforeRetry =
         profile.keyed()
-            ? new ExchangeEffect.AwaitNewerOwners(SAME_OWNER_PAUSE_MS)
+            ? new ExchangeEffect.AwaitNewerOwners(SAME_OWNER_RETRY_DELAY_MS)
             : new ExchangeEffect.AvoidTarget();
-    return List.of(elsewhere, seek(nowMs));
+    return List.of(beforeRetry, acquireSlot(nowMs));
   }
 
-  private boolean mayRunAgain(long nowMs) {
+  private boolean mayRetry(long nowMs) {
     return profile.idempotent()
         && runs < profile.maxAttempts()
         && hasTime(nowMs)
-        && budget.getAsBoolean();
+        && retryBudget.getAsBoolean();
   }
 
   private boolean hasTime(long nowMs) {
-    return profile.deadlineMs() - nowMs > SAME_OWNER_PAUSE_MS;
+    return profile.deadlineMs() - nowMs > SAME_OWNER_RETRY_DELAY_MS;
   }
 
   private List<ExchangeEffect> end(String reason) {
     return end(reason, reason.endsWith("_busy") ? BUSY_RETRY_AFTER_MS : RETRY_AFTER_MS);
   }
 
-  /** Ends a request that no target is working on. */
+  /** Ends a request that has no attempt in progress. */
   private List<ExchangeEffect> end(String reason, long retryAfterMs) {
     done = true;
     return List.of(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/exchange/package-info.java
@@ -1,6 +1,7 @@
 /**
- * One request, from its head to its one final answer: decisions only.
+ * Decision logic for one request, from its head to its single final answer.
  *
- * <p>Events in, effects out. The program, the replay of traces and the tests drive the same code.
+ * <p>The state machine takes events and returns effects without performing I/O. The server, trace
+ * replay and tests share the same code.
  */
 package io.cuminvalve.core.exchange;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/HotKey.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/HotKey.java
@@ -1,17 +1,17 @@
 package io.cuminvalve.core.hotkey;
 
 /**
- * A key with much load.
+ * A key with high load.
  *
  * @param keyHash the hash of the key, see {@link io.cuminvalve.core.table.KeyHasher#hash(String)}
- * @param load its estimated load; never less than the true load, but for the decay
- * @param error how much of the estimate may belong to other keys
+ * @param load the estimated load; apart from the decay, never less than the true load
+ * @param error the maximum part of the estimate that may belong to other keys
  * @since 0.1
  */
 public record HotKey(long keyHash, double load, double error) {
 
   /**
-   * Returns the load that is certainly the key's own.
+   * Returns a lower bound of the load of the key.
    *
    * @return at least 0
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/HotKeySketch.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/HotKeySketch.java
@@ -6,23 +6,24 @@
 import java.util.List;
 
 /**
- * Finds the hottest of any number of keys in bounded memory.
+ * Finds the keys with the highest load among any number of keys, in bounded memory.
  *
- * <p>Space-saving (Metwally, Agrawal, El Abbadi, 2005) with the filter of Homem and Carvalho
- * (2010): a key that is not monitored adds to a filter cell, and replaces the least monitored key
- * only once its cell weighs as much. Loads decay with a half-life, so that the sketch follows hot
- * keys that change. Instead of lowering old counts, new ones weigh more (forward decay).
+ * <p>Implements the Space-Saving algorithm (Metwally, Agrawal, El Abbadi, 2005) with the filter of
+ * Homem and Carvalho (2010): the load of a key that is not monitored is added to a filter cell, and
+ * the key replaces the monitored key with the lowest count only once its cell reaches that count.
+ * Loads decay exponentially with a half-life, so that the sketch adapts to changing hot keys.
+ * Instead of reducing old counts, it increases the weight of new ones (forward decay).
  *
- * <p>{@link #record} allocates nothing. Not thread-safe.
+ * <p>{@link #record} does not allocate. Not thread-safe.
  *
  * @since 0.1
  */
 public final class HotKeySketch {
 
-  /** Filter cells per monitored key. */
+  /** Number of filter cells per monitored key. */
   private static final int FILTER_FACTOR = 32;
 
-  /** Counts are scaled down when the weight of a new one exceeds this. */
+  /** Counts are rescaled when the weight of new counts exceeds this. */
   private static final double MAX_WEIGHT = 0x1p40;
 
   private static final int EMPTY = -1;
@@ -33,10 +34,10 @@
   private final double[] counts;
   private final double[] errors;
   private final double[] filter;
-  // A heap of monitored keys, least first, and the place of each in it.
+  // Min-heap of the monitored keys by count, and the heap position of each key.
   private final int[] heap;
-  private final int[] places;
-  // Open addressing with linear probing from key hash to monitored key.
+  private final int[] heapPositions;
+  // Hash table from key hash to monitored key, with open addressing and linear probing.
   private final int[] buckets;
   private int size;
   private long originMs;
@@ -45,8 +46,8 @@
   /**
    * Creates an empty sketch.
    *
-   * @param capacity how many keys are monitored; at least 1
-   * @param halfLifeMs after how many milliseconds a load counts half
+   * @param capacity number of monitored keys; at least 1
+   * @param halfLifeMs half-life of the load, in milliseconds
    * @param nowMs the current time
    */
   public HotKeySketch(int capacity, long halfLifeMs, long nowMs) {
@@ -57,7 +58,7 @@
     counts = new double[capacity];
     errors = new double[capacity];
     heap = new int[capacity];
-    places = new int[capacity];
+    heapPositions = new int[capacity];
     buckets = new int[powerOfTwo(4 * capacity)];
     Arrays.fill(buckets, EMPTY);
     filter = new double[powerOfTwo(FILTER_FACTOR * capacity)];
@@ -68,9 +69,9 @@
   }
 
   /**
-   * Sets the time of the loads that follow. To be called every second or so.
+   * Sets the time of subsequent loads. Should be called about once per second.
    *
-   * @param nowMs the current time; never goes back
+   * @param nowMs the current time; must not decrease
    */
   public void advance(long nowMs) {
     weight = Math.pow(2, (nowMs - originMs) / halfLifeMs);
@@ -99,13 +100,13 @@
     add(keyHash, load * weight, 0);
   }
 
-  /** Adds a count that is already weighted and of which a part may belong to other keys. */
+  /** Adds an already weighted count, part of which may belong to other keys. */
   private void add(long keyHash, double count, double error) {
     int slot = find(keyHash);
     if (slot != EMPTY) {
       counts[slot] += count;
       errors[slot] += error;
-      siftDown(places[slot]);
+      siftDown(heapPositions[slot]);
       return;
     }
     int cell = cellOf(keyHash);
@@ -114,22 +115,22 @@
       return;
     }
     double estimate = filter[cell] + count;
-    int least = heap[0];
-    if (estimate < counts[least]) {
+    int minSlot = heap[0];
+    if (estimate < counts[minSlot]) {
       filter[cell] = estimate;
       return;
     }
-    double unknown = filter[cell];
-    int leastCell = cellOf(keys[least]);
-    filter[leastCell] = Math.max(filter[leastCell], counts[least]);
-    unlink(least);
-    set(least, keyHash, estimate, error + unknown);
-    siftDown(places[least]);
+    double filtered = filter[cell];
+    int minCell = cellOf(keys[minSlot]);
+    filter[minCell] = Math.max(filter[minCell], counts[minSlot]);
+    unlink(minSlot);
+    set(minSlot, keyHash, estimate, error + filtered);
+    siftDown(heapPositions[minSlot]);
   }
 
   private void insert(int slot, long keyHash, double count, double error) {
     heap[slot] = slot;
-    places[slot] = slot;
+    heapPositions[slot] = slot;
     set(slot, keyHash, count, error);
     siftUp(slot);
   }
@@ -168,7 +169,7 @@
     buckets[bucket] = slot;
   }
 
-  /** Frees the bucket of a key and moves later ones of its probe sequence up. */
+  /** Frees the bucket of a key and shifts back later entries of its probe sequence. */
   private void unlink(int slot) {
     int mask = buckets.length - 1;
     int hole = bucketOf(keys[slot]);
@@ -188,28 +189,28 @@
   }
 
   private void siftUp(int from) {
-    int place = from;
-    while (place > 0 && counts[heap[place]] < counts[heap[(place - 1) / 2]]) {
-      swap(place, (place - 1) / 2);
-      place = (place - 1) / 2;
+    int position = from;
+    while (position > 0 && counts[heap[position]] < counts[heap[(position - 1) / 2]]) {
+      swap(position, (position - 1) / 2);
+      position = (position - 1) / 2;
     }
   }
 
   private void siftDown(int from) {
-    int place = from;
+    int position = from;
     while (true) {
-      int child = 2 * place + 1;
+      int child = 2 * position + 1;
       if (child >= size) {
         return;
       }
       if (child + 1 < size && counts[heap[child + 1]] < counts[heap[child]]) {
         child++;
       }
-      if (counts[heap[place]] <= counts[heap[child]]) {
+      if (counts[heap[position]] <= counts[heap[child]]) {
         return;
       }
-      swap(place, child);
-      place = child;
+      swap(position, child);
+      position = child;
     }
   }
 
@@ -217,14 +218,14 @@
     int slot = heap[first];
     heap[first] = heap[second];
     heap[second] = slot;
-    places[heap[first]] = first;
-    places[heap[second]] = second;
+    heapPositions[heap[first]] = first;
+    heapPositions[heap[second]] = second;
   }
 
   /**
-   * Adds what another sketch has seen.
+   * Adds the counts of another sketch.
    *
-   * @param other a sketch whose clock has the same origin; not null, not changed
+   * @param other a sketch whose clock has the same origin; not null, not modified
    */
   public void merge(HotKeySketch other) {
     for (int slot = 0; slot < other.size; slot++) {
@@ -234,11 +235,11 @@
   }
 
   /**
-   * Lists the hottest keys.
+   * Returns the keys with the highest load.
    *
-   * @param limit how many at most
-   * @return by certain load, hottest first, with decayed loads as of the last {@link #advance};
-   *     never null
+   * @param limit maximum number of keys
+   * @return the keys in descending order of {@link HotKey#certainLoad}, with loads decayed to the
+   *     last {@link #advance}; never null
    */
   public List<HotKey> hottest(int limit) {
     List<HotKey> found = new ArrayList<>(size);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/LoadAggregator.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/LoadAggregator.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /**
- * Adds up the loads that routers report, for the planner.
+ * Aggregates the loads reported by routers, for the planner.
  *
  * <p>Not thread-safe.
  *
@@ -17,10 +17,10 @@
  */
 public final class LoadAggregator {
 
-  /** A report that is older no longer counts; milliseconds. */
+  /** Maximum age of a report before it is ignored; milliseconds. */
   public static final long MAX_AGE_MS = 30_000;
 
-  /** A key with more than this many times the mean load of a shard makes its shard hot. */
+  /** A shard is hot if the load of one of its keys exceeds the mean shard load by this factor. */
   private static final double HOT_KEY_FACTOR = 2;
 
   private final int shardCount;
@@ -29,28 +29,28 @@
   /**
    * Creates an aggregator.
    *
-   * @param shardCount how many shards the cell has; a power of two
+   * @param shardCount number of shards of the cell; a power of two
    */
   public LoadAggregator(int shardCount) {
     this.shardCount = shardCount;
   }
 
   /**
-   * Takes the place of the router's earlier report.
+   * Stores a report, replacing the previous one of the same router.
    *
    * @param report the report; not null
    * @param nowMs the current time
-   * @return false if the report does not fit the cell and was ignored
+   * @return false if the report was ignored because it does not match the cell
    */
   public boolean onReport(LoadReport report, long nowMs) {
-    if (!fits(report)) {
+    if (!matchesCell(report)) {
       return false;
     }
     latest.put(report.router(), new Received(report, nowMs));
     return true;
   }
 
-  private boolean fits(LoadReport report) {
+  private boolean matchesCell(LoadReport report) {
     return report.shards().length == report.shardPerSecond().length
         && report.keyHashes().length == report.keyPerSecond().length
         && Arrays.stream(report.shards()).allMatch(shard -> shard >= 0 && shard < shardCount);
@@ -60,10 +60,10 @@
    * Returns the load per shard.
    *
    * @param nowMs the current time
-   * @return one load per shard; empty if no recent report shows any
+   * @return one load per shard; empty if no recent report contains any load
    */
   public double[] shardLoads(long nowMs) {
-    dropOld(nowMs);
+    removeExpired(nowMs);
     double[] loads = new double[shardCount];
     for (Received received : latest.values()) {
       addTo(loads, received.report);
@@ -71,7 +71,10 @@
     return Arrays.stream(loads).sum() > 0 ? loads : new double[0];
   }
 
-  /** Adds what a report lists, and spreads the rest of its total over the shards not listed. */
+  /**
+   * Adds the listed loads of a report, and distributes the remainder of its total evenly over the
+   * unlisted shards.
+   */
   private void addTo(double[] loads, LoadReport report) {
     int[] shards = report.shards();
     double listed = 0;
@@ -82,24 +85,25 @@
     if (shards.length == shardCount) {
       return;
     }
-    double rest = Math.max(0, report.totalPerSecond() - listed) / (shardCount - shards.length);
+    double loadPerUnlistedShard =
+        Math.max(0, report.totalPerSecond() - listed) / (shardCount - shards.length);
     for (int shard = 0; shard < shardCount; shard++) {
-      loads[shard] += rest;
+      loads[shard] += loadPerUnlistedShard;
     }
     for (int shard : shards) {
-      loads[shard] -= rest;
+      loads[shard] -= loadPerUnlistedShard;
     }
   }
 
   /**
-   * Returns the hottest keys of all routers together.
+   * Returns the keys with the highest total load over all routers.
    *
-   * @param limit how many at most
+   * @param limit maximum number of keys
    * @param nowMs the current time
-   * @return hottest first; never null
+   * @return the keys in descending order of load; never null
    */
   public List<HotKey> hottestKeys(int limit, long nowMs) {
-    dropOld(nowMs);
+    removeExpired(nowMs);
     Map<Long, Double> sums = new HashMap<>();
     for (Received received : latest.values()) {
       long[] hashes = received.report.keyHashes();
@@ -115,7 +119,7 @@
   }
 
   /**
-   * Returns the shards that hold a hot key.
+   * Returns the shards that contain a hot key.
    *
    * @param nowMs the current time
    * @return in ascending order; never null
@@ -131,7 +135,7 @@
         .toArray();
   }
 
-  private void dropOld(long nowMs) {
+  private void removeExpired(long nowMs) {
     latest.values().removeIf(received -> nowMs - received.atMs > MAX_AGE_MS);
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/LoadMeter.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/LoadMeter.java
@@ -12,24 +12,27 @@
 /**
  * Measures the load of one cell on one router.
  *
- * <p>{@link #record} may be called by any thread and allocates nothing; {@link #report} belongs to
- * the control thread. Keys are divided among a few sketches, so that threads seldom wait for each
- * other.
+ * <p>{@link #record} may be called by any thread and does not allocate; {@link #report} must be
+ * called by the control thread only. Keys are striped over several sketches to reduce lock
+ * contention.
  *
  * @since 0.1
  */
 public final class LoadMeter {
 
-  /** Keys that each sketch monitors. */
+  /** Number of keys monitored by each sketch. */
   public static final int MONITORED_KEYS = 512;
 
-  /** Keys that a report names. */
+  /** Maximum number of keys listed in a report. */
   public static final int LISTED_KEYS = 64;
 
-  /** Shards that a report names; the load of the others is reported as a sum. */
+  /**
+   * Maximum number of shards listed in a report; the load of the others is included in the total
+   * only.
+   */
   public static final int LISTED_SHARDS = 256;
 
-  /** After how many milliseconds a load counts half. */
+  /** Half-life of the load, in milliseconds. */
   public static final long HALF_LIFE_MS = 5_000;
 
   private static final int STRIPES = 4;
@@ -46,7 +49,7 @@
    *
    * @param cell the cell; not null
    * @param router the router; not null
-   * @param shardCount how many shards the cell has
+   * @param shardCount number of shards of the cell
    * @param nowMs the current time
    */
   public LoadMeter(CellId cell, RouterId router, int shardCount, long nowMs) {
@@ -64,8 +67,8 @@
    *
    * @param keyHash the hash of the request's key
    * @param shard the shard of the key
-   * @param load in a unit of the caller's choice, such as microseconds of a target's slot; at least
-   *     0
+   * @param load the load in any consistent unit, such as microseconds of slot time at a target; at
+   *     least 0
    */
   public void record(long keyHash, int shard, long load) {
     recorded.addAndGet(shard, load);
@@ -78,12 +81,12 @@
   /**
    * Reports the load and starts the next interval.
    *
-   * @param nowMs the current time; never goes back
+   * @param nowMs the current time; must not decrease
    * @return the report; never null
    */
   public LoadReport report(long nowMs) {
     double decay = Math.pow(2, -(double) (nowMs - reportedAtMs) / HALF_LIFE_MS);
-    // Load of the interval counts as if it had come in its middle.
+    // Treats the load of the interval as if it had been recorded at its midpoint.
     double halfDecay = Math.sqrt(decay);
     decayShards(decay, halfDecay);
     reportedAtMs = nowMs;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/hotkey/package-info.java
@@ -1,2 +1,2 @@
-/** Measured load: hot keys and load per shard, on routers and at the holder of the term. */
+/** Load measurement: hot keys and load per shard, on routers and at the term holder. */
 package io.cuminvalve.core.hotkey;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/id/FencingToken.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/id/FencingToken.java
@@ -1,18 +1,19 @@
 package io.cuminvalve.core.id;
 
 /**
- * Orders the ownerships of one shard: a target refuses a token lower than the highest it has seen.
+ * Orders successive ownerships of one shard. A target refuses any token lower than the highest one
+ * that it has seen.
  *
- * <p>A token that comes with a write to the store is even. The next odd one is reserved for the
- * recorded standby and comes into force only when the standby is activated, so the store has agreed
- * to it beforehand.
+ * <p>A token issued with a write to the store is even. The next odd token is reserved for the
+ * recorded standby and takes effect only when the standby is activated, so that it is already
+ * authorised by the store.
  *
  * @param value at least 0
  * @since 0.1
  */
 public record FencingToken(long value) implements Comparable<FencingToken> {
 
-  /** The distance between two tokens written to the store. */
+  /** The difference between consecutive tokens written to the store. */
   public static final long STEP = 2;
 
   /**
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/id/IdempotencyKey.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/id/IdempotencyKey.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.core.id;
 
 /**
- * Identifies a non-idempotent operation across resends.
+ * Identifies a non-idempotent operation across retries.
  *
  * @param value 1 to 128 letters, digits and {@code . _ : -}, starting with a letter or digit
  * @since 0.1
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/id/Identifiers.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/id/Identifiers.java
@@ -5,7 +5,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks that text may serve as an identifier.
+ * Validates the text of identifiers.
  *
  * @since 0.1
  */
@@ -13,7 +13,7 @@
 
   private static final Pattern ALLOWED = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._:-]{0,127}");
 
-  /** Fits into a signed number of 64 bits. */
+  /** Limited to values that fit into a signed 64-bit integer. */
   private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}");
 
   private Identifiers() {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/id/Incarnation.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/id/Incarnation.java
@@ -1,9 +1,9 @@
 package io.cuminvalve.core.id;
 
 /**
- * Tells one run of a process from a later run of the same process after a restart.
+ * Distinguishes one run of a process from later runs after a restart.
  *
- * @param value drawn at random at the start of the process; 0 means unknown
+ * @param value random number generated at process start; 0 means unknown
  * @since 0.1
  */
 public record Incarnation(long value) {
@@ -12,7 +12,7 @@
   public static final Incarnation UNKNOWN = new Incarnation(0);
 
   /**
-   * Tells whether the process reported its incarnation.
+   * Returns whether the process has reported its incarnation.
    *
    * @return false for {@link #UNKNOWN}
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/id/RequestId.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/id/RequestId.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.core.id;
 
 /**
- * Identifies a request as it was admitted by a router.
+ * Identifies a request admitted by a router.
  *
  * @param value 1 to 128 letters, digits and {@code . _ : -}, starting with a letter or digit
  * @since 0.1
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/route/CallerBounds.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/route/CallerBounds.java
@@ -1,12 +1,12 @@
 package io.cuminvalve.core.route;
 
 /**
- * What a caller may send, and how long it may take.
+ * Size and time limits for callers.
  *
- * @param maxHeaderBytes the largest head of a request
- * @param maxBodyBytes the largest body
- * @param headerTimeoutMs how long a head may take to arrive; milliseconds
- * @param idleTimeoutMs how long a connection may stay unused; milliseconds
+ * @param maxHeaderBytes maximum size of a request head; bytes
+ * @param maxBodyBytes maximum size of a request body; bytes
+ * @param headerTimeoutMs maximum time to receive a request head; milliseconds
+ * @param idleTimeoutMs maximum idle time of a connection; milliseconds
  * @since 0.2
  */
 public record CallerBounds(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/route/Route.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/route/Route.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * Where the requests of one host and path prefix go, and what may be done with them.
+ * Defines the destination and handling of requests for one host and path prefix.
  *
- * @param name names the route in logs; not null
- * @param host the value of the Host header, without a port; lower case, not null
- * @param prefix the beginning of the path; begins and ends with a slash; not null
+ * @param name the name of the route in logs; not null
+ * @param host the value of the Host header without the port; lower case, not null
+ * @param prefix the path prefix, which starts and ends with a slash; not null
  * @param idempotent whether a request may run more than once
- * @param timeoutMs the longest time that a caller is kept waiting; milliseconds
- * @param targetLatencyMs the time within which an answer is worth most; milliseconds
- * @param priority its rank under overload; 0 is the highest
- * @param services where requests go, by weight; not null, not empty
- * @param maxAttempts to how many targets one request may be sent; at least 1
+ * @param timeoutMs maximum time until the caller gets a response; milliseconds
+ * @param targetLatencyMs latency objective of responses; milliseconds
+ * @param priority the priority under overload; 0 is the highest
+ * @param services the weighted services that receive the requests; not null, not empty
+ * @param maxAttempts maximum number of targets to which one request may be sent; at least 1
  * @since 0.2
  */
 public record Route(
@@ -36,7 +36,7 @@
   /**
    * Chooses a service by weight.
    *
-   * @param draw a number from 0 to below 1, drawn evenly
+   * @param draw a uniformly distributed random number from 0 (inclusive) to 1 (exclusive)
    * @return never null
    */
   public ServiceId choose(double draw) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/route/RoutingConfiguration.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/route/RoutingConfiguration.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 
 /**
- * One version of the configuration, ready for look-ups.
+ * One version of the configuration, indexed for look-ups.
  *
- * <p>Among the routes of a host, the one with the longest prefix of the path wins. Immutable.
+ * <p>Of the routes of a host, the one with the longest matching path prefix is selected. Immutable.
  *
  * @since 0.2
  */
@@ -23,10 +23,10 @@
   /**
    * Creates a configuration.
    *
-   * @param version its version; versions only grow
+   * @param version the version, which increases with each configuration
    * @param routes the routes; not null
    * @param services the services; not null
-   * @param bounds what callers may send; not null
+   * @param bounds the limits for callers; not null
    */
   public RoutingConfiguration(
       long version, List<Route> routes, List<ServiceProfile> services, CallerBounds bounds) {
@@ -47,14 +47,14 @@
   /**
    * Returns the version.
    *
-   * @return versions only grow
+   * @return the version, which increases with each configuration
    */
   public long version() {
     return version;
   }
 
   /**
-   * Returns what callers may send.
+   * Returns the limits for callers.
    *
    * @return never null
    */
@@ -72,10 +72,10 @@
   }
 
   /**
-   * Tells whether the keys of a service have owners.
+   * Returns whether the keys of a service are owned by targets.
    *
    * @param service the service; not null
-   * @return false for an unknown service too
+   * @return false also if the service is unknown
    */
   public boolean isKeyed(ServiceId service) {
     ServiceProfile profile = services.get(service);
@@ -85,8 +85,8 @@
   /**
    * Finds the route of a request.
    *
-   * @param host the Host header without a port; not null
-   * @param path the path without a query; not null
+   * @param host the Host header without the port; not null
+   * @param path the path without the query; not null
    * @return empty if no route matches
    */
   public Optional<Route> find(String host, String path) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/route/WeightedService.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/route/WeightedService.java
@@ -3,10 +3,10 @@
 import io.cuminvalve.core.id.ServiceId;
 
 /**
- * One part of a split route.
+ * One share of a route that splits traffic between services.
  *
- * @param service where the part goes; not null
- * @param weight its share in proportion to the other weights; at least 0
+ * @param service the service that receives the share; not null
+ * @param weight the share relative to the other weights of the route; at least 0
  * @since 0.2
  */
 public record WeightedService(ServiceId service, double weight) {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/route/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/route/package-info.java
@@ -1,2 +1,2 @@
-/** Routes of a configuration: which requests go to which services, and how. */
+/** Routes of the configuration, which map requests to services and define their handling. */
 package io.cuminvalve.core.route;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/CompiledRule.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/CompiledRule.java
@@ -17,7 +17,7 @@
 
   private final RequestRule rule;
 
-  /** One literal per segment; null stands for any text. */
+  /** One literal per segment; null matches any text. */
   private final String[] literals;
 
   private final int keySegment;
@@ -62,7 +62,7 @@
     return literals.length;
   }
 
-  /** Tells whether the path, which has as many segments as this rule, matches. */
+  /** Returns whether a path with the same number of segments as this rule matches. */
   boolean matchesPath(String path, int end) {
     int start = 1;
     for (String literal : literals) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/MatchResult.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/MatchResult.java
@@ -1,15 +1,15 @@
 package io.cuminvalve.core.routing;
 
 /**
- * Whether a request was recognised.
+ * The result of matching a request against the rules.
  *
  * @since 0.1
  */
 public enum MatchResult {
-  /** A rule matches and the key is there. */
+  /** A rule matches and the key is present. */
   MATCHED,
   /** No rule matches method and path. */
   NO_RULE,
-  /** The first rule that matches needs a key that the request lacks. */
+  /** The first matching rule requires a key that is missing from the request. */
   KEY_MISSING
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/Paths.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/Paths.java
@@ -1,18 +1,18 @@
 package io.cuminvalve.core.routing;
 
 /**
- * Walks over the segments of raw paths without allocating.
+ * Parses the segments of raw paths without allocation.
  *
  * @since 0.1
  */
 final class Paths {
 
-  private static final int HEX = 16;
-  private static final int FIRST_BEYOND_ASCII = 0x80;
+  private static final int HEX_RADIX = 16;
+  private static final int FIRST_NON_ASCII = 0x80;
 
   private Paths() {}
 
-  /** Returns where the path ends and a query or fragment starts. */
+  /** Returns the end index of the path, before any query or fragment. */
   static int end(String path) {
     for (int i = 0; i < path.length(); i++) {
       char c = path.charAt(i);
@@ -34,7 +34,7 @@
     return end == 1 && count == 1 ? 0 : count;
   }
 
-  /** Returns the end of the segment that starts at an index. */
+  /** Returns the end index of the segment that starts at the given index. */
   static int segmentEnd(String path, int start, int end) {
     int i = start;
     while (i < end && path.charAt(i) != '/') {
@@ -43,7 +43,7 @@
     return i;
   }
 
-  /** Tells whether a segment holds percent-encoded characters. */
+  /** Returns whether a segment contains percent-encoded characters. */
   static boolean isEncoded(String path, int start, int end) {
     for (int i = start; i < end; i++) {
       if (path.charAt(i) == '%') {
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Decodes a segment, so that each spelling of a key reaches the same owner. Octets beyond ASCII
-   * stay encoded, in upper case.
+   * Decodes a segment, so that all encodings of a key map to the same owner. Non-ASCII octets
+   * remain encoded, in upper case.
    *
    * @return the decoded text, or null if the encoding is malformed
    */
@@ -72,24 +72,24 @@
       if (i + 2 >= end) {
         return null;
       }
-      int high = Character.digit(path.charAt(i + 1), HEX);
-      int low = Character.digit(path.charAt(i + 2), HEX);
+      int high = Character.digit(path.charAt(i + 1), HEX_RADIX);
+      int low = Character.digit(path.charAt(i + 2), HEX_RADIX);
       if (high < 0 || low < 0) {
         return null;
       }
-      append(decoded, high * HEX + low);
+      append(decoded, high * HEX_RADIX + low);
       i += 3;
     }
     return decoded.toString();
   }
 
   private static void append(StringBuilder decoded, int octet) {
-    if (octet < FIRST_BEYOND_ASCII) {
+    if (octet < FIRST_NON_ASCII) {
       decoded.append((char) octet);
       return;
     }
     decoded.append('%');
-    decoded.append(Character.toUpperCase(Character.forDigit(octet / HEX, HEX)));
-    decoded.append(Character.toUpperCase(Character.forDigit(octet % HEX, HEX)));
+    decoded.append(Character.toUpperCase(Character.forDigit(octet / HEX_RADIX, HEX_RADIX)));
+    decoded.append(Character.toUpperCase(Character.forDigit(octet % HEX_RADIX, HEX_RADIX)));
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/RequestMatcher.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/RequestMatcher.java
@@ -10,8 +10,8 @@
 /**
  * Finds the rule and the key of a request. Immutable and thread-safe.
  *
- * <p>Rules are tried in their order; the first whose method and path template match wins. A match
- * allocates nothing, unless a segment has to be percent-decoded.
+ * <p>Rules are tried in order; the first one whose method and path template match is selected.
+ * Matching does not allocate unless a segment has to be percent-decoded.
  *
  * @since 0.1
  */
@@ -46,7 +46,7 @@
    * @param path the raw path, percent-encoded, with or without a query; not null
    * @param headers returns the value of a header, or null; not null
    * @param into receives rule and key; cleared first; not null
-   * @return whether the request was recognised
+   * @return the result of the match
    */
   public MatchResult match(
       String method, String path, UnaryOperator<String> headers, RouteMatch into) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/RouteMatch.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/RouteMatch.java
@@ -4,7 +4,8 @@
 import io.cuminvalve.core.table.KeyHasher;
 
 /**
- * Receives the result of {@link RequestMatcher#match}; reused by one thread to avoid allocation.
+ * Holds the result of {@link RequestMatcher#match}. Each thread reuses its own instance to avoid
+ * allocation.
  *
  * @since 0.1
  */
@@ -25,7 +26,7 @@
   /**
    * Returns the key of the request.
    *
-   * @return a view that changes with the next match; use {@code toString()} to keep it
+   * @return a view that is overwritten by the next match; use {@code toString()} to retain it
    */
   public CharSequence key() {
     return slice;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Recognises requests by the rules of the configuration and finds their keys. */
+/** Matches requests against the rules of the configuration and extracts their keys. */
 package io.cuminvalve.core.routing;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/Configuration.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/Configuration.java
@@ -7,12 +7,12 @@
 /**
  * One accepted configuration: inventory and rules, published as a whole.
  *
- * @param revision grows with each publication; at least 1
- * @param publication the attempt that wrote it; not null
- * @param publishedBy who published it; not null
- * @param reason why, in the operator's words; not null, may be empty
+ * @param revision the revision, which increases with each publication; at least 1
+ * @param publication the publication attempt that wrote it; not null
+ * @param publishedBy the operator who published it; not null
+ * @param reason the reason given by the operator; not null, may be empty
  * @param inventory the inventory; not null
- * @param rules all rules, first match wins; not null, copied
+ * @param rules all rules in order of precedence; not null, copied
  * @since 0.1
  */
 public record Configuration(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/KeySource.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/KeySource.java
@@ -1,10 +1,10 @@
 package io.cuminvalve.core.rule;
 
 /**
- * Where the key of a request stands.
+ * The location of the key in a request.
  *
  * @param place header or path; not null
- * @param name the header's name, or the name of a segment in braces of the path template; not null
+ * @param name the name of the header or of the path template variable; not null
  * @since 0.1
  */
 public record KeySource(Place place, String name) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/RequestClass.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/RequestClass.java
@@ -1,13 +1,13 @@
 package io.cuminvalve.core.rule;
 
 /**
- * How urgent a request is.
+ * The urgency of a request.
  *
  * @since 0.1
  */
 public enum RequestClass {
-  /** Somebody waits for the answer. */
+  /** A user waits for the response. */
   INTERACTIVE,
-  /** May wait behind interactive work, but has to finish. */
+  /** May be delayed by interactive requests but must complete. */
   DEFERRABLE
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/RequestRule.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/RequestRule.java
@@ -4,19 +4,19 @@
 import io.cuminvalve.core.id.ServiceId;
 
 /**
- * Recognises one kind of request and says how it is treated.
+ * Matches one kind of request and defines how it is handled.
  *
- * @param id its identifier; not null
- * @param service the service that answers; not null
+ * @param id the identifier of the rule; not null
+ * @param service the service that handles the request; not null
  * @param method the HTTP method; not null, upper case
- * @param pathTemplate such as {@code /claims/{claim}/payouts}; a segment in braces matches any one
- *     segment; not null
- * @param key where the key stands; not null
- * @param kind the name of the request kind, used in metrics; not null
- * @param idempotent false if running it twice does harm
- * @param requestClass how urgent it is; not null
- * @param timeoutMs the longest a caller waits when it names no deadline; milliseconds, at least 1
- * @param coalesce true if identical safe reads in flight may share one answer
+ * @param pathTemplate the path template, such as {@code /claims/{claim}/payouts}; a segment in
+ *     braces matches any single segment; not null
+ * @param key the location of the key; not null
+ * @param kind the request kind, used in metrics; not null
+ * @param idempotent whether the request may safely run more than once
+ * @param requestClass the urgency of the request; not null
+ * @param timeoutMs the timeout if the caller specifies no deadline; milliseconds, at least 1
+ * @param coalesce whether identical safe reads in flight may share one response
  * @since 0.1
  */
 public record RequestRule(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/rule/package-info.java
@@ -1,2 +1,2 @@
-/** What operators add to the inventory: how requests are recognised and treated. */
+/** Rules that operators publish with the inventory: how requests are matched and handled. */
 package io.cuminvalve.core.rule;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/Outcome.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/Outcome.java
@@ -1,39 +1,42 @@
 package io.cuminvalve.core.verdict;
 
 /**
- * How a request ended for its caller. Each request has exactly one.
+ * The final outcome of a request for its caller. Each request has exactly one.
  *
- * @param end in which way; not null
- * @param verdict whether it may have run; not null
- * @param reason why it was not answered by the target; {@link RefusalReason#NONE} if it was; not
- *     null
- * @param retryAfterMs when to come back, in milliseconds; 0 if the caller should not
+ * @param end the kind of response that the caller receives; not null
+ * @param verdict whether the request may have run; not null
+ * @param reason the reason why the target did not answer it; {@link RefusalReason#NONE} if it did;
+ *     not null
+ * @param retryAfterMs delay before a retry, in milliseconds; 0 if the caller should not retry
  * @since 0.1
  */
 public record Outcome(End end, Verdict verdict, RefusalReason reason, long retryAfterMs) {
 
-  /** The answer of the target was relayed to its end. */
+  /** The target's complete answer was relayed. */
   public static final Outcome ANSWERED =
       new Outcome(End.ANSWERED, Verdict.RAN, RefusalReason.NONE, 0);
 
-  /** What the caller sees. */
+  /** The response that the caller receives. */
   public enum End {
-    /** The whole answer of the target. */
+    /** The complete answer of the target. */
     ANSWERED,
-    /** An error answer of the router with verdict, code and retry advice. */
+    /** An error response of the router with verdict, code and retry advice. */
     REFUSED,
-    /** A connection that ends before the answer does, so that it cannot look complete. */
+    /**
+     * A connection closed before the end of the answer, so that a partial answer cannot appear
+     * complete.
+     */
     ABORTED,
-    /** Nothing: it went away before. */
+    /** No response: the caller disconnected first. */
     CALLER_GONE
   }
 
   /**
    * Creates the outcome of a request that the router answers itself.
    *
-   * @param verdict whether it may have run; not null
-   * @param reason why; not null
-   * @param retryAfterMs when to come back; milliseconds
+   * @param verdict whether the request may have run; not null
+   * @param reason the reason for the refusal; not null
+   * @param retryAfterMs delay before a retry; milliseconds
    * @return never null
    */
   public static Outcome refused(Verdict verdict, RefusalReason reason, long retryAfterMs) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/RefusalReason.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/RefusalReason.java
@@ -1,17 +1,17 @@
 package io.cuminvalve.core.verdict;
 
 /**
- * Why a router ended a request without a whole answer of its target.
+ * The reason why a router ended a request without a complete answer of its target.
  *
- * <p>The name of a constant is the {@code code} in the body of the error answer. It never changes
- * its meaning once released.
+ * <p>The name of a constant is the {@code code} in the body of the error response. Its meaning must
+ * not change once released.
  *
  * @since 0.1
  */
 public enum RefusalReason {
   /** No reason: the answer of the target was relayed. */
   NONE(200, RetryAdvice.DO_NOT_RETRY),
-  /** No rule matches method and path. */
+  /** No rule matches the method and path. */
   NO_RULE(404, RetryAdvice.DO_NOT_RETRY),
   /** The rule matches, but the request lacks its key. */
   KEY_MISSING(400, RetryAdvice.DO_NOT_RETRY),
@@ -19,25 +19,25 @@
   BAD_REQUEST(400, RetryAdvice.DO_NOT_RETRY),
   /** This router has no valid table or route lease. */
   NOT_READY(503, RetryAdvice.RETRY),
-  /** The shard has no owner, or its move did not end in time. */
+  /** The shard has no owner, or its move did not complete in time. */
   SHARD_UNAVAILABLE(503, RetryAdvice.RETRY),
-  /** Too many requests wait for this shard or target. */
+  /** Too many requests are queued for this shard or target. */
   QUEUE_FULL(503, RetryAdvice.RETRY),
-  /** By the measured service time the request cannot be served before its deadline. */
+  /** According to measured service times, the request cannot complete before its deadline. */
   DEADLINE_UNREACHABLE(503, RetryAdvice.RETRY),
-  /** The router that holds the target's queue does not answer. */
+  /** The router that manages the target's queue does not respond. */
   GATE_UNAVAILABLE(503, RetryAdvice.RETRY),
-  /** The circuit of the target is open. */
+  /** The circuit breaker of the target is open. */
   CIRCUIT_OPEN(503, RetryAdvice.RETRY),
-  /** No connection to the target could be made; no byte was sent. */
+  /** No connection to the target could be established; no data was sent. */
   CONNECT_FAILED(503, RetryAdvice.RETRY),
-  /** The target refused because it is overloaded. */
+  /** The target refused the request because it is overloaded. */
   TARGET_OVERLOADED(503, RetryAdvice.RETRY),
-  /** The target refused because it is draining. */
+  /** The target refused the request because it is draining. */
   TARGET_DRAINING(503, RetryAdvice.RETRY),
-  /** The target refused because it does not hold the shard in this way. */
+  /** The target refused the request because it does not hold the required grant for the shard. */
   TARGET_NOT_OWNER(503, RetryAdvice.RETRY),
-  /** The routers that have to know of the operation before it is sent do not answer. */
+  /** The routers that must record the operation before it is sent do not respond. */
   INTENT_UNAVAILABLE(503, RetryAdvice.ASK_AGAIN),
   /** An earlier request with the same idempotency key is still in flight. */
   DUPLICATE_IN_FLIGHT(409, RetryAdvice.ASK_AGAIN),
@@ -47,9 +47,9 @@
   EARLIER_MAY_HAVE_RUN(409, RetryAdvice.CALLER_DECIDES),
   /** The deadline passed. */
   DEADLINE_EXCEEDED(504, RetryAdvice.CALLER_DECIDES),
-  /** The connection to the target broke before the whole answer was read. */
+  /** The connection to the target broke before the complete answer was read. */
   ANSWER_CUT(502, RetryAdvice.CALLER_DECIDES),
-  /** The caller went away. */
+  /** The caller disconnected. */
   CALLER_CANCELLED(499, RetryAdvice.CALLER_DECIDES),
   /** This router is stopping. */
   ROUTER_STOPPING(503, RetryAdvice.RETRY);
@@ -63,7 +63,7 @@
   }
 
   /**
-   * Returns the status of the error answer.
+   * Returns the HTTP status of the error response.
    *
    * @return an HTTP status code
    */
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Returns what the caller should do, given the verdict.
+   * Returns the retry advice for the given verdict.
    *
    * @param verdict whether the request may have run; not null
    * @return never null
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/RetryAdvice.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/RetryAdvice.java
@@ -1,17 +1,17 @@
 package io.cuminvalve.core.verdict;
 
 /**
- * What a caller that got no answer of the target should do.
+ * The advice for a caller that did not receive the target's answer.
  *
  * @since 0.1
  */
 public enum RetryAdvice {
-  /** Sending it again, after the advised delay, is safe and sensible. */
+  /** Retry after the advised delay; this is safe. */
   RETRY,
-  /** Ask again with the same idempotency key to learn how it ended; it is not run again. */
+  /** Resend with the same idempotency key to query the result; the request is not run again. */
   ASK_AGAIN,
-  /** Only the caller can decide: the request may have run. */
+  /** The caller must decide whether to retry, because the request may have run. */
   CALLER_DECIDES,
-  /** The same request will fail again. */
+  /** Do not retry; the same request would fail again. */
   DO_NOT_RETRY
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/TargetRefusal.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/TargetRefusal.java
@@ -1,22 +1,23 @@
 package io.cuminvalve.core.verdict;
 
 /**
- * How a target refuses a request before running it; the header {@code Cuminvalve-Refusal}.
+ * The reason why a target refuses a request before running it, as sent in the header {@code
+ * Cuminvalve-Refusal}.
  *
  * @since 0.1
  */
 public enum TargetRefusal {
-  /** It has no capacity now. */
+  /** The target has no capacity at present. */
   OVERLOADED(RefusalReason.TARGET_OVERLOADED),
-  /** It is about to stop. */
+  /** The target is about to stop. */
   DRAINING(RefusalReason.TARGET_DRAINING),
-  /** It has no grant for the shard. */
+  /** The target has no grant for the shard. */
   NOT_OWNER(RefusalReason.TARGET_NOT_OWNER),
-  /** It has seen a higher fencing token. */
+  /** The target has seen a higher fencing token. */
   STALE_TOKEN(RefusalReason.TARGET_NOT_OWNER),
-  /** The request arrived after the expiry of its grant. */
+  /** The request arrived after its grant had expired. */
   EXPIRED(RefusalReason.TARGET_NOT_OWNER),
-  /** The request was meant for an earlier run of the target. */
+  /** The request was addressed to an earlier incarnation of the target. */
   WRONG_INCARNATION(RefusalReason.TARGET_NOT_OWNER);
 
   private final RefusalReason reason;
@@ -26,7 +27,7 @@
   }
 
   /**
-   * Returns the reason told to the caller if the request is not retried.
+   * Returns the reason reported to the caller if the request is not retried.
    *
    * @return never null
    */
@@ -35,10 +36,10 @@
   }
 
   /**
-   * Finds a refusal by the value of the header.
+   * Returns the refusal for a header value.
    *
    * @param headerValue the value; may be null
-   * @return the refusal, or null if the value defines none, so that nothing proves NOT_RUN
+   * @return the refusal; null if the value is unknown and therefore does not prove NOT_RUN
    */
   public static TargetRefusal ofHeader(String headerValue) {
     for (TargetRefusal refusal : values()) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/Verdict.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/Verdict.java
@@ -1,18 +1,18 @@
 package io.cuminvalve.core.verdict;
 
 /**
- * Says whether a request may have run at a target.
+ * Whether a request may have run at a target.
  *
  * @since 0.1
  */
 public enum Verdict {
   /**
-   * It certainly did not run: no byte of it was handed to a connection, or each target that got it
-   * refused it in the way that the interface defines as before running.
+   * The request did not run: no byte of it was written to a connection, or each target that
+   * received it refused it with a response that the interface defines as sent before execution.
    */
   NOT_RUN,
-  /** It ran: the target answered it. */
+  /** The request ran: the target answered it. */
   RAN,
-  /** Nothing proves either. */
+  /** Neither is proven. */
   MAY_HAVE_RUN
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/verdict/package-info.java
@@ -1,2 +1,2 @@
-/** What a caller may conclude about a request that got no answer of its target. */
+/** What a caller may conclude about a request that its target did not answer. */
 package io.cuminvalve.core.verdict;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeInterleavingsTest.java
@@ -7,44 +7,44 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Any order of events, also late and doubled ones. */
+/** Checks the state machine under arbitrary event orders, including late and duplicate events. */
 class ExchangeInterleavingsTest {
 
   private static final int EVENTS = 40;
 
   @Property(tries = 2_000, seed = "11")
-  void thereIsOneFinalAnswerAndItIsTrue(
+  void exactlyOneCorrectFinalAnswer(
       @ForAll long seed, @ForAll boolean idempotent, @ForAll boolean keyed) {
     Random random = new Random(seed);
-    World world = new World(idempotent, keyed, random);
+    SimulatedRequest simulated = new SimulatedRequest(idempotent, keyed, random);
     for (int i = 0; i < EVENTS; i++) {
-      world.step(random.nextInt(7));
+      simulated.step(random.nextInt(7));
     }
-    world.finish();
-    assertThat(world.finals).isEqualTo(1);
-    assertThat(idempotent || world.runs <= 1).isTrue();
-    assertThat(world.runs).isAtMost(2);
-    if (world.saidNotRun) {
-      assertThat(world.runs).isEqualTo(0);
+    simulated.finish();
+    assertThat(simulated.finalAnswers).isEqualTo(1);
+    assertThat(idempotent || simulated.runs <= 1).isTrue();
+    assertThat(simulated.runs).isAtMost(2);
+    if (simulated.refused) {
+      assertThat(simulated.runs).isEqualTo(0);
     }
-    assertThat(world.slotsOut).isEqualTo(0);
+    assertThat(simulated.slotsInUse).isEqualTo(0);
   }
 
-  /** A request with its target; knows what really ran. */
-  private static final class World {
+  /** Simulates a request and its target, and records whether the request really ran. */
+  private static final class SimulatedRequest {
 
     private final Random random;
     private final ExchangeStateMachine machine;
     private long nowMs;
-    private boolean seeking;
+    private boolean waitingForSlot;
     private boolean attempt;
     private boolean handedOver;
     private int runs;
-    private int finals;
-    private int slotsOut;
-    private boolean saidNotRun;
+    private int finalAnswers;
+    private int slotsInUse;
+    private boolean refused;
 
-    World(boolean idempotent, boolean keyed, Random random) {
+    SimulatedRequest(boolean idempotent, boolean keyed, Random random) {
       this.random = random;
       ExchangeProfile profile = new ExchangeProfile(idempotent, keyed, 2, 400, 0, 2_000);
       this.machine = new ExchangeStateMachine(profile, random::nextBoolean);
@@ -59,8 +59,8 @@
         case 2 -> answer(random.nextBoolean() ? 200 : 500);
         case 3 -> refuse();
         case 4 -> fail();
-        case 5 -> runOutOfPatience();
-        default -> leaveSometimes();
+        case 5 -> expireSlotWait();
+        default -> disconnectSometimes();
       }
     }
 
@@ -73,9 +73,9 @@
     }
 
     private void giveSlot() {
-      if (seeking) {
-        seeking = false;
-        slotsOut++;
+      if (waitingForSlot) {
+        waitingForSlot = false;
+        slotsInUse++;
         apply(machine.onSlot());
       }
     }
@@ -109,14 +109,14 @@
       }
     }
 
-    private void runOutOfPatience() {
-      if (seeking) {
-        seeking = false;
+    private void expireSlotWait() {
+      if (waitingForSlot) {
+        waitingForSlot = false;
         apply(machine.onNoSlot("owner_busy"));
       }
     }
 
-    private void leaveSometimes() {
+    private void disconnectSometimes() {
       if (random.nextInt(10) == 0) {
         apply(machine.onCallerGone());
       }
@@ -125,24 +125,24 @@
     private void endAttempt() {
       attempt = false;
       handedOver = false;
-      slotsOut--;
+      slotsInUse--;
     }
 
     private void apply(List<ExchangeEffect> effects) {
       for (ExchangeEffect effect : effects) {
-        finals += effect.isFinal() ? 1 : 0;
+        finalAnswers += effect.isFinal() ? 1 : 0;
         if (effect instanceof ExchangeEffect.AcquireSlot) {
-          seeking = true;
+          waitingForSlot = true;
         } else if (effect instanceof ExchangeEffect.CancelSlotRequest) {
-          seeking = false;
+          waitingForSlot = false;
         } else if (effect instanceof ExchangeEffect.Send) {
           attempt = true;
         } else if (effect instanceof ExchangeEffect.ReturnSlot) {
-          slotsOut--;
+          slotsInUse--;
         } else if (effect instanceof ExchangeEffect.Abandon && attempt) {
           endAttempt();
         } else if (effect instanceof ExchangeEffect.Refuse) {
-          saidNotRun = true;
+          refused = true;
         }
       }
     }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeStateMachineTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeStateMachineTest.java
@@ -12,7 +12,7 @@
   private int budget = 10;
 
   @Test
-  void theAnswerIsRelayed() {
+  void answerIsRelayed() {
     ExchangeStateMachine machine = machine(false, true);
     assertThat(machine.onStart(false, 0)).containsExactly(new ExchangeEffect.AcquireSlot(70));
     assertThat(machine.onSlot()).containsExactly(new ExchangeEffect.Send());
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void whoFindsNoSlotIsToldWhenToComeBack() {
+  void missingSlotIsRefusedWithRetryDelay() {
     ExchangeStateMachine machine = machine(true, true);
     machine.onStart(false, 0);
     assertThat(machine.onNoSlot("owner_busy"))
@@ -32,13 +32,13 @@
   }
 
   @Test
-  void theOneTurnedAwayIsNeverOffered() {
+  void shedRequestNeverSeeksSlot() {
     assertThat(machine(true, true).onStart(true, 0))
         .containsExactly(new ExchangeEffect.Refuse(500, "overload_busy"));
   }
 
   @Test
-  void whatMayHaveRunRunsAgainOnlyIfIdempotent() {
+  void requestThatMayHaveRunIsRetriedOnlyIfIdempotent() {
     ExchangeStateMachine once = sent(false, false);
     assertThat(once.onFailure(true, "reset", 50))
         .containsExactly(new ExchangeEffect.GiveUp(false, "reset"));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void whatIsInQuarantineIsRefusedOnlyIfItHasNotRun() {
+  void quarantinedRequestIsRefusedOnlyIfItHasNotRun() {
     ExchangeStateMachine fresh = machine(true, true);
     assertThat(fresh.onQuarantined(30_000))
         .containsExactly(new ExchangeEffect.Refuse(30_000, "quarantined"));
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void itRunsOnNoMoreTargetsThanAllowed() {
+  void runsOnAtMostMaxAttemptsTargets() {
     ExchangeStateMachine machine = sent(true, false);
     machine.onFailure(true, "reset", 10);
     machine.onSlot();
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void proofsThatItDidNotRunAllowAnotherTarget() {
+  void proofOfNotRunAllowsRetry() {
     ExchangeStateMachine machine = sent(false, true);
     assertThat(machine.onNotExecuted(10))
         .containsExactly(
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void manyProofsEndIt() {
+  void tooManyRefusalsEndRequest() {
     ExchangeStateMachine machine = sent(false, true);
     for (int i = 0; i < 3; i++) {
       assertThat(machine.onNotExecuted(10)).hasSize(2);
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void withoutBudgetNothingIsRepeated() {
+  void noRetryWithoutBudget() {
     budget = 0;
     assertThat(sent(true, false).onFailure(true, "reset", 10))
         .containsExactly(new ExchangeEffect.GiveUp(false, "reset"));
@@ -102,19 +102,19 @@
   }
 
   @Test
-  void withoutTimeNothingIsRepeated() {
+  void noRetryWithoutRemainingTime() {
     assertThat(sent(true, false).onFailure(true, "reset", DEADLINE_MS - 40))
         .containsExactly(new ExchangeEffect.GiveUp(false, "reset"));
   }
 
   @Test
-  void attemptsThatWereNotSentNeedNoBudget() {
+  void unsentAttemptsNeedNoBudget() {
     budget = 0;
     assertThat(sent(false, false).onFailure(false, "refused", 10)).hasSize(2);
   }
 
   @Test
-  void anErrorOfTargetsWithoutKeysIsTriedElsewhere() {
+  void errorOfUnkeyedServiceIsRetriedElsewhere() {
     assertThat(sent(true, false).onAnswer(500, 10)).contains(new ExchangeEffect.AvoidTarget());
     assertThat(sent(true, true).onAnswer(500, 10)).containsExactly(new ExchangeEffect.Relay(true));
     assertThat(sent(false, false).onAnswer(503, 10))
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void atTheDeadlineTheAnswerGoesOutAtOnce() {
+  void deadlineAnswersImmediately() {
     assertThat(sent(true, true).onDeadline(true))
         .containsExactly(
             new ExchangeEffect.CancelSlotRequest(),
@@ -145,14 +145,14 @@
   }
 
   @Test
-  void theDeadlineDoesNotForgetAnEarlierRun() {
+  void deadlineAccountsForEarlierRun() {
     ExchangeStateMachine machine = sent(true, false);
     machine.onFailure(true, "reset", 10);
     assertThat(machine.onDeadline(false)).contains(new ExchangeEffect.GiveUp(true, "timeout"));
   }
 
   @Test
-  void theCallerThatLeavesEndsTheAttempt() {
+  void callerDisconnectAbortsAttempt() {
     assertThat(sent(true, true).onCallerGone())
         .containsExactly(
             new ExchangeEffect.CancelSlotRequest(),
@@ -161,9 +161,9 @@
         .inOrder();
   }
 
-  /** The close of a caller may be found while its request is about to begin. */
+  /** The caller's disconnect may be detected just before its request starts. */
   @Test
-  void theCallerThatLeavesBeforeTheBeginningEndsTheRequest() {
+  void callerDisconnectBeforeStartEndsRequest() {
     ExchangeStateMachine machine = machine(true, true);
     assertThat(machine.onCallerGone())
         .containsExactly(new ExchangeEffect.CancelSlotRequest(), new ExchangeEffect.Drop())
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void nothingFollowsTheFinalAnswer() {
+  void eventsAfterFinalAnswerHaveNoEffect() {
     ExchangeStateMachine machine = sent(true, true);
     machine.onDeadline(true);
     assertThat(machine.onAnswer(200, 2_000)).isEmpty();
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/hotkey/HotKeySketchTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/hotkey/HotKeySketchTest.java
@@ -17,7 +17,7 @@
   private final Random random = new Random(7);
   private final HotKeySketch sketch = new HotKeySketch(200, 1000, 0);
 
-  /** One request in two goes to one of the hot keys, the others to keys never seen again. */
+  /** Sends half of the requests to the hot keys and the others to unique keys. */
   private void recordMix(HotKeySketch into, long firstHot, int requests) {
     for (int i = 0; i < requests; i++) {
       boolean isHot = random.nextBoolean();
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void estimateIsNeverBelowTheTruthAndErrorBoundsTheRest() {
+  void estimateIsNeverTooLowAndErrorBoundsOverestimate() {
     HotKeySketch small = new HotKeySketch(20, 1000, 0);
     Map<Long, Integer> truth = new HashMap<>();
     for (int i = 0; i < 50_000; i++) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/hotkey/LoadMeterTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/hotkey/LoadMeterTest.java
@@ -19,7 +19,7 @@
     return new LoadMeter(CELL, new RouterId(router), SHARDS, 0);
   }
 
-  /** Puts steady load on every shard and ten times as much on one key. */
+  /** Records steady load on every shard and ten times as much on one key. */
   private static LoadReport steadyReport(LoadMeter meter) {
     LoadReport report = null;
     for (int second = 1; second <= 100; second++) {
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aggregatorAddsRoutersAndSpreadsWhatIsNotListed() {
+  void aggregatorSumsRoutersAndDistributesUnlistedLoad() {
     aggregator.onReport(steadyReport(meter("r1")), 1000);
     aggregator.onReport(steadyReport(meter("r2")), 1000);
     double[] loads = aggregator.shardLoads(1000);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void reportThatDoesNotFitIsIgnored() {
+  void mismatchedReportIsIgnored() {
     int[] beyond = {SHARDS};
     LoadReport report =
         new LoadReport(
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/id/TargetIdTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/id/TargetIdTest.java
@@ -14,7 +14,7 @@
   private static final TargetId SECOND = TargetId.ofRun("i-1", 100);
 
   @Test
-  void runsOfOneTargetHaveItsName() {
+  void runsOfOneTargetShareItsName() {
     assertThat(FIRST.name()).isEqualTo("i-1");
     assertThat(new TargetId("i-1").name()).isEqualTo("i-1");
     assertThat(FIRST).isNotEqualTo(SECOND);
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void theStartTellsWhichRunIsLater() {
+  void laterStartMeansLaterRun() {
     assertThat(SECOND.isLaterRunOf(FIRST)).isTrue();
     assertThat(FIRST.isLaterRunOf(SECOND)).isFalse();
     assertThat(FIRST.isLaterRunOf(FIRST)).isFalse();
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void runsWhoseStartIsKnownAreLaterThanThoseWithout() {
+  void runWithKnownStartIsLaterThanRunWithout() {
     TargetId unknown = new TargetId("i-1");
     assertThat(FIRST.isLaterRunOf(unknown)).isTrue();
     assertThat(unknown.isLaterRunOf(FIRST)).isFalse();
@@ -38,7 +38,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "@1", "i-1@", "i-1@x", "i-1@1@2", "i-1@-1", "i 1", "i-1@1.5"})
-  void otherFormsAreRefused(String value) {
+  void malformedIdsAreRejected(String value) {
     assertThrows(CodedException.class, () -> new TargetId(value));
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/route/RoutingConfigurationTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/route/RoutingConfigurationTest.java
@@ -19,13 +19,13 @@
           new CallerBounds(16_384, 1_000, 3_000, 15_000));
 
   @Test
-  void theLongestPrefixWins() {
+  void longestPrefixWins() {
     assertThat(configuration.find("h.example", "/a/b/c").orElseThrow().name()).isEqualTo("long");
     assertThat(configuration.find("h.example", "/a/bc").orElseThrow().name()).isEqualTo("short");
   }
 
   @Test
-  void hostAndPrefixHaveToMatch() {
+  void hostAndPrefixMustMatch() {
     assertThat(configuration.find("other.example", "/a/b")).isEmpty();
     assertThat(configuration.find("h.example", "/b/a/")).isEmpty();
     assertThat(configuration.find("h.example", "/a")).isEmpty();
@@ -33,13 +33,13 @@
   }
 
   @Test
-  void unknownServicesHaveNoKeys() {
+  void unknownServiceIsNotKeyed() {
     assertThat(configuration.isKeyed(SERVICE)).isTrue();
     assertThat(configuration.isKeyed(OTHER)).isFalse();
   }
 
   @Test
-  void partsAreChosenByWeight() {
+  void servicesAreChosenByWeight() {
     Route split =
         new Route(
             "split",
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/routing/RequestMatcherTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/routing/RequestMatcherTest.java
@@ -58,19 +58,19 @@
   }
 
   @Test
-  void reportsMissingHeaderKeyRatherThanTryingTheNextRule() {
+  void reportsMissingHeaderKeyWithoutTryingNextRule() {
     assertThat(matcher.match("GET", "/claims/special", name -> null, match))
         .isEqualTo(MatchResult.KEY_MISSING);
   }
 
   @Test
-  void refusesTemplateWithoutItsKey() {
+  void rejectsTemplateWithoutItsKey() {
     RequestRule broken = rule("broken", "GET", "/claims/{other}", CLAIM);
     assertThrows(CodedException.class, () -> new RequestMatcher(List.of(broken)));
   }
 
   @Test
-  void refusesPathsWithTooManySegments() {
+  void doesNotMatchPathsWithTooManySegments() {
     assertThat(matcher.match("GET", "/a".repeat(33), name -> null, match))
         .isEqualTo(MatchResult.NO_RULE);
   }
