--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.LeaseLeft;
+import io.cuminvalve.core.protocol.RemainingLease;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -104,15 +104,15 @@
    * @param leases every lease that it reports, for any service; not null
    * @param nowMs the current time; milliseconds
    */
-  public void limitForeignLeases(List<LeaseLeft> leases, long nowMs) {
+  public void limitForeignLeases(List<RemainingLease> leases, long nowMs) {
     for (LeasedRange leased : ranges) {
       leased.limitForeign(target -> nowMs + maxRemainingMs(leases, leased.range(), target));
     }
   }
 
-  private long maxRemainingMs(List<LeaseLeft> leases, KeyRange range, TargetId target) {
+  private long maxRemainingMs(List<RemainingLease> leases, KeyRange range, TargetId target) {
     long leftMs = 0;
-    for (LeaseLeft lease : leases) {
+    for (RemainingLease lease : leases) {
       boolean overlaps = lease.firstKey() <= range.last() && range.first() <= lease.lastKey();
       // The previous term holder may not know which run of the target received its grants.
       boolean sameTarget = lease.target().name().equals(target.name());
@@ -129,8 +129,8 @@
    * @param nowMs the current time; milliseconds
    * @return never null
    */
-  public List<LeaseLeft> leasesLeft(long nowMs) {
-    List<LeaseLeft> result = new ArrayList<>();
+  public List<RemainingLease> leasesLeft(long nowMs) {
+    List<RemainingLease> result = new ArrayList<>();
     for (LeasedRange leased : ranges) {
       addRemaining(leased.range(), leased.owner(), leased.ownerUntilMs() - nowMs, result);
       leased
@@ -142,9 +142,10 @@
     return result;
   }
 
-  private void addRemaining(KeyRange range, TargetId target, long leftMs, List<LeaseLeft> result) {
+  private void addRemaining(
+      KeyRange range, TargetId target, long leftMs, List<RemainingLease> result) {
     if (leftMs > 0) {
-      result.add(new LeaseLeft(service, range.first(), range.last(), target, leftMs));
+      result.add(new RemainingLease(service, range.first(), range.last(), target, leftMs));
     }
   }
 
--- /dev/null
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetLatencyReport.java
@@ -0,0 +1,17 @@
+package io.cuminvalve.core.protocol;
+
+import java.util.List;
+
+/**
+ * Sent by every process to the term holder: the response times of targets since the last report.
+ *
+ * @param times one entry for each target that responded; not null
+ * @since 0.2
+ */
+public record TargetLatencyReport(List<TargetLatency> times) implements FleetMessage {
+
+  /** Copies the list. */
+  public TargetLatencyReport {
+    times = List.copyOf(times);
+  }
+}
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeMachineTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/exchange/ExchangeStateMachineTest.java
@@ -5,64 +5,64 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ExchangeMachineTest {
+class ExchangeStateMachineTest {
 
   private static final long DEADLINE_MS = 1_000;
 
   private int budget = 10;
 
   @Test
-  void theAnswerIsRelayed() {
-    ExchangeMachine machine = machine(false, true);
-    assertThat(machine.onStart(false, 0)).containsExactly(new ExchangeEffect.SeekSlot(70));
+  void answerIsRelayed() {
+    ExchangeStateMachine machine = machine(false, true);
+    assertThat(machine.onStart(false, 0)).containsExactly(new ExchangeEffect.AcquireSlot(70));
     assertThat(machine.onSlot()).containsExactly(new ExchangeEffect.Send());
     assertThat(machine.onAnswer(200, 100)).containsExactly(new ExchangeEffect.Relay(false));
   }
 
   @Test
-  void whoFindsNoSlotIsToldWhenToComeBack() {
-    ExchangeMachine machine = machine(true, true);
+  void missingSlotIsRefusedWithRetryDelay() {
+    ExchangeStateMachine machine = machine(true, true);
     machine.onStart(false, 0);
     assertThat(machine.onNoSlot("owner_busy"))
         .containsExactly(new ExchangeEffect.Refuse(500, "owner_busy"));
-    ExchangeMachine other = machine(true, true);
+    ExchangeStateMachine other = machine(true, true);
     other.onStart(false, 0);
     assertThat(other.onNoSlot("key_on_the_move"))
         .containsExactly(new ExchangeEffect.Refuse(250, "key_on_the_move"));
   }
 
   @Test
-  void theOneTurnedAwayIsNeverOffered() {
+  void shedRequestNeverSeeksSlot() {
     assertThat(machine(true, true).onStart(true, 0))
         .containsExactly(new ExchangeEffect.Refuse(500, "overload_busy"));
   }
 
   @Test
-  void whatMayHaveRunRunsAgainOnlyIfIdempotent() {
-    ExchangeMachine once = sent(false, false);
+  void requestThatMayHaveRunIsRetriedOnlyIfIdempotent() {
+    ExchangeStateMachine once = sent(false, false);
     assertThat(once.onFailure(true, "reset", 50))
         .containsExactly(new ExchangeEffect.GiveUp(false, "reset"));
-    ExchangeMachine often = sent(true, false);
+    ExchangeStateMachine often = sent(true, false);
     assertThat(often.onFailure(true, "reset", 50))
-        .containsExactly(new ExchangeEffect.AvoidTarget(), new ExchangeEffect.SeekSlot(40))
+        .containsExactly(new ExchangeEffect.AvoidTarget(), new ExchangeEffect.AcquireSlot(40))
         .inOrder();
   }
 
   @Test
-  void whatIsInQuarantineIsRefusedOnlyIfItHasNotRun() {
-    ExchangeMachine fresh = machine(true, true);
+  void quarantinedRequestIsRefusedOnlyIfItHasNotRun() {
+    ExchangeStateMachine fresh = machine(true, true);
     assertThat(fresh.onQuarantined(30_000))
         .containsExactly(new ExchangeEffect.Refuse(30_000, "quarantined"));
     assertThat(fresh.onQuarantined(30_000)).isEmpty();
-    ExchangeMachine broken = sent(true, true);
+    ExchangeStateMachine broken = sent(true, true);
     broken.onFailure(true, "reset", 10);
     assertThat(broken.onQuarantined(30_000))
         .containsExactly(new ExchangeEffect.GiveUp(false, "quarantined"));
   }
 
   @Test
-  void itRunsOnNoMoreTargetsThanAllowed() {
-    ExchangeMachine machine = sent(true, false);
+  void runsOnAtMostMaxAttemptsTargets() {
+    ExchangeStateMachine machine = sent(true, false);
     machine.onFailure(true, "reset", 10);
     machine.onSlot();
     assertThat(machine.onFailure(true, "reset", 20))
@@ -71,18 +71,19 @@
   }
 
   @Test
-  void proofsThatItDidNotRunAllowAnotherTarget() {
-    ExchangeMachine machine = sent(false, true);
+  void proofOfNotRunAllowsRetry() {
+    ExchangeStateMachine machine = sent(false, true);
     assertThat(machine.onNotExecuted(10))
-        .containsExactly(new ExchangeEffect.AwaitNewerOwners(40), new ExchangeEffect.SeekSlot(60))
+        .containsExactly(
+            new ExchangeEffect.AwaitNewerOwners(40), new ExchangeEffect.AcquireSlot(60))
         .inOrder();
     machine.onSlot();
     assertThat(machine.onAnswer(200, 90)).containsExactly(new ExchangeEffect.Relay(false));
   }
 
   @Test
-  void manyProofsEndIt() {
-    ExchangeMachine machine = sent(false, true);
+  void tooManyRefusalsEndRequest() {
+    ExchangeStateMachine machine = sent(false, true);
     for (int i = 0; i < 3; i++) {
       assertThat(machine.onNotExecuted(10)).hasSize(2);
       machine.onSlot();
@@ -92,7 +93,7 @@
   }
 
   @Test
-  void withoutBudgetNothingIsRepeated() {
+  void noRetryWithoutBudget() {
     budget = 0;
     assertThat(sent(true, false).onFailure(true, "reset", 10))
         .containsExactly(new ExchangeEffect.GiveUp(false, "reset"));
@@ -101,19 +102,19 @@
   }
 
   @Test
-  void withoutTimeNothingIsRepeated() {
+  void noRetryWithoutRemainingTime() {
     assertThat(sent(true, false).onFailure(true, "reset", DEADLINE_MS - 40))
         .containsExactly(new ExchangeEffect.GiveUp(false, "reset"));
   }
 
   @Test
-  void attemptsThatWereNotSentNeedNoBudget() {
+  void unsentAttemptsNeedNoBudget() {
     budget = 0;
     assertThat(sent(false, false).onFailure(false, "refused", 10)).hasSize(2);
   }
 
   @Test
-  void anErrorOfTargetsWithoutKeysIsTriedElsewhere() {
+  void errorOfUnkeyedServiceIsRetriedElsewhere() {
     assertThat(sent(true, false).onAnswer(500, 10)).contains(new ExchangeEffect.AvoidTarget());
     assertThat(sent(true, true).onAnswer(500, 10)).containsExactly(new ExchangeEffect.Relay(true));
     assertThat(sent(false, false).onAnswer(503, 10))
@@ -121,58 +122,59 @@
   }
 
   @Test
-  void atTheDeadlineTheAnswerGoesOutAtOnce() {
+  void deadlineAnswersImmediately() {
     assertThat(sent(true, true).onDeadline(true))
         .containsExactly(
-            new ExchangeEffect.StopSeeking(),
+            new ExchangeEffect.CancelSlotRequest(),
             new ExchangeEffect.GiveUp(true, "timeout"),
             new ExchangeEffect.Abandon(true))
         .inOrder();
     assertThat(sent(true, true).onDeadline(false))
         .containsExactly(
-            new ExchangeEffect.StopSeeking(),
+            new ExchangeEffect.CancelSlotRequest(),
             new ExchangeEffect.Refuse(250, "timeout_unsent"),
             new ExchangeEffect.Abandon(true))
         .inOrder();
-    ExchangeMachine waiting = machine(true, true);
+    ExchangeStateMachine waiting = machine(true, true);
     waiting.onStart(false, 0);
     assertThat(waiting.onDeadline(false))
         .containsExactly(
-            new ExchangeEffect.StopSeeking(), new ExchangeEffect.Refuse(250, "timeout_unsent"))
+            new ExchangeEffect.CancelSlotRequest(),
+            new ExchangeEffect.Refuse(250, "timeout_unsent"))
         .inOrder();
   }
 
   @Test
-  void theDeadlineDoesNotForgetAnEarlierRun() {
-    ExchangeMachine machine = sent(true, false);
+  void deadlineAccountsForEarlierRun() {
+    ExchangeStateMachine machine = sent(true, false);
     machine.onFailure(true, "reset", 10);
     assertThat(machine.onDeadline(false)).contains(new ExchangeEffect.GiveUp(true, "timeout"));
   }
 
   @Test
-  void theCallerThatLeavesEndsTheAttempt() {
+  void callerDisconnectAbortsAttempt() {
     assertThat(sent(true, true).onCallerGone())
         .containsExactly(
-            new ExchangeEffect.StopSeeking(),
+            new ExchangeEffect.CancelSlotRequest(),
             new ExchangeEffect.Abandon(false),
             new ExchangeEffect.Drop())
         .inOrder();
   }
 
-  /** The close of a caller may be found while its request is about to begin. */
+  /** The caller's disconnect may be detected just before its request starts. */
   @Test
-  void theCallerThatLeavesBeforeTheBeginningEndsTheRequest() {
-    ExchangeMachine machine = machine(true, true);
+  void callerDisconnectBeforeStartEndsRequest() {
+    ExchangeStateMachine machine = machine(true, true);
     assertThat(machine.onCallerGone())
-        .containsExactly(new ExchangeEffect.StopSeeking(), new ExchangeEffect.Drop())
+        .containsExactly(new ExchangeEffect.CancelSlotRequest(), new ExchangeEffect.Drop())
         .inOrder();
     assertThat(machine.onStart(false, 0)).isEmpty();
     assertThat(machine.onStart(true, 0)).isEmpty();
   }
 
   @Test
-  void nothingFollowsTheFinalAnswer() {
-    ExchangeMachine machine = sent(true, true);
+  void eventsAfterFinalAnswerHaveNoEffect() {
+    ExchangeStateMachine machine = sent(true, true);
     machine.onDeadline(true);
     assertThat(machine.onAnswer(200, 2_000)).isEmpty();
     assertThat(machine.onNotExecuted(2_000)).isEmpty();
@@ -183,16 +185,16 @@
     assertThat(machine.onSlot()).containsExactly(new ExchangeEffect.ReturnSlot());
   }
 
-  private ExchangeMachine sent(boolean idempotent, boolean keyed) {
-    ExchangeMachine machine = machine(idempotent, keyed);
+  private ExchangeStateMachine sent(boolean idempotent, boolean keyed) {
+    ExchangeStateMachine machine = machine(idempotent, keyed);
     machine.onStart(false, 0);
     List<ExchangeEffect> effects = machine.onSlot();
     assertThat(effects).containsExactly(new ExchangeEffect.Send());
     return machine;
   }
 
-  private ExchangeMachine machine(boolean idempotent, boolean keyed) {
+  private ExchangeStateMachine machine(boolean idempotent, boolean keyed) {
     ExchangeProfile profile = new ExchangeProfile(idempotent, keyed, 2, 400, 0, DEADLINE_MS);
-    return new ExchangeMachine(profile, () -> budget-- > 0);
+    return new ExchangeStateMachine(profile, () -> budget-- > 0);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
@@ -1,11 +1,11 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.CrashNews;
+import io.cuminvalve.core.protocol.CrashUpdate;
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.core.protocol.TrialPermit;
 import io.cuminvalve.core.protocol.TrialRequest;
-import io.cuminvalve.core.quarantine.CrashLedger;
 import io.cuminvalve.core.quarantine.CrashReport;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.core.quarantine.CrashedRun;
 import io.cuminvalve.core.quarantine.RequestFingerprint;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -32,7 +32,7 @@
  * StateExchange} the holder of the term and its deputies receive every crash, and all gateways
  * receive the requests that crashed two targets. Confined to the control thread.
  */
-final class CrashCoordinator implements StateExchange.LocalState<CrashNews> {
+final class CrashCoordinator implements StateExchange.LocalState<CrashUpdate> {
 
   /** The other gateways, the state of the term and the persistent quarantine. */
   interface Peers extends FleetMessenger {
@@ -41,7 +41,7 @@
     boolean isHolder();
 
     /** Persists the quarantined requests, as the holder, in case the whole fleet is lost. */
-    void persist(CrashNews quarantined);
+    void persist(CrashUpdate quarantined);
   }
 
   /**
@@ -55,10 +55,10 @@
    */
   private static final long TRIAL_DURATION_MS = 1_500;
 
-  private final CrashLedger ledger;
+  private final CrashTracker ledger;
   private final RequestQuarantine quarantine;
   private final Peers peers;
-  private final StateExchange<CrashNews> exchange;
+  private final StateExchange<CrashUpdate> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
   private final Set<RequestFingerprint> locallySeen = new LinkedHashSet<>();
@@ -69,7 +69,7 @@
   private final Map<RequestFingerprint, Integer> crashCounts = new HashMap<>();
 
   CrashCoordinator(
-      CrashLedger ledger,
+      CrashTracker ledger,
       RequestQuarantine quarantine,
       Peers peers,
       MillisClock clock,
@@ -117,7 +117,7 @@
   }
 
   /** Processes crashes sent by another process. */
-  void onNews(CrashNews update, Consumer<FleetMessage> sender) {
+  void onNews(CrashUpdate update, Consumer<FleetMessage> sender) {
     long nowMs = clock.nowMs();
     Set<RequestFingerprint> learned = new LinkedHashSet<>();
     for (CrashReport report : update.reports()) {
@@ -132,7 +132,7 @@
   }
 
   @Override
-  public Optional<CrashNews> missingFrom(CrashNews received) {
+  public Optional<CrashUpdate> missingFrom(CrashUpdate received) {
     Set<RequestFingerprint> missing = new HashSet<>(watched);
     for (CrashReport report : received.reports()) {
       RequestFingerprint fingerprint = report.fingerprint();
@@ -145,7 +145,7 @@
     }
     return missing.isEmpty()
         ? Optional.empty()
-        : Optional.of(new CrashNews(false, ledger.reports(missing, clock.nowMs())));
+        : Optional.of(new CrashUpdate(false, ledger.reports(missing, clock.nowMs())));
   }
 
   /** Requests a trial permit for a watched request of this gateway. */
@@ -179,8 +179,8 @@
   }
 
   @Override
-  public CrashNews complete() {
-    return new CrashNews(true, ledger.reports(watched, clock.nowMs()));
+  public CrashUpdate complete() {
+    return new CrashUpdate(true, ledger.reports(watched, clock.nowMs()));
   }
 
   /** Returns a digest of the watched requests and their crashes; 0 if there is none. */
@@ -201,7 +201,7 @@
   void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
     Set<String> added = exchange.onHolderAndDeputies(holderAddress, deputies);
     if (!added.isEmpty() && !locallySeen.isEmpty()) {
-      CrashNews all = new CrashNews(false, ledger.reports(locallySeen, clock.nowMs()));
+      CrashUpdate all = new CrashUpdate(false, ledger.reports(locallySeen, clock.nowMs()));
       added.forEach(address -> peers.tell(address, all));
     }
   }
@@ -230,25 +230,26 @@
     long digest = quarantined.keySet().stream().mapToLong(this::digestOf).sum();
     if (digest != persistedDigest) {
       persistedDigest = digest;
-      peers.persist(new CrashNews(false, ledger.reports(quarantined.keySet(), clock.nowMs())));
+      peers.persist(new CrashUpdate(false, ledger.reports(quarantined.keySet(), clock.nowMs())));
     }
   }
 
   /** Merges the quarantine stored by the previous holder, after this process acquired the term. */
-  void onStored(CrashNews stored) {
+  void onStored(CrashUpdate stored) {
     onNews(stored, message -> {});
     persistQuarantined();
   }
 
   private void tellHolderAndDeputies(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      exchange.tellHolderAndDeputies(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
+      exchange.tellHolderAndDeputies(
+          new CrashUpdate(false, ledger.reports(changed, clock.nowMs())));
     }
   }
 
   private void sendToFollowers(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      peers.sendToFollowers(new CrashNews(false, ledger.reports(changed, clock.nowMs())));
+      peers.sendToFollowers(new CrashUpdate(false, ledger.reports(changed, clock.nowMs())));
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
@@ -1,11 +1,11 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.CrashNews;
+import io.cuminvalve.core.protocol.CrashUpdate;
 import io.cuminvalve.core.protocol.FleetHello;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.core.protocol.TrialPermit;
 import io.cuminvalve.core.protocol.TrialRequest;
-import io.cuminvalve.core.quarantine.CrashLedger;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import io.cuminvalve.gateway.traffic.TrafficReports;
 import io.cuminvalve.kernel.ControlThread;
@@ -38,7 +38,7 @@
       MillisClock clock,
       DecisionLog log,
       TrafficReports reports,
-      CrashLedger ledger) {
+      CrashTracker ledger) {
     super(network, subscribers);
     this.control = control;
     this.reports = reports;
@@ -80,7 +80,7 @@
 
   /** Processes a message if it concerns requests that crash targets. */
   void onMessage(PeerChannel sender, PeerMessage message) {
-    if (message instanceof CrashNews update) {
+    if (message instanceof CrashUpdate update) {
       coordinator.onNews(update, sender::send);
     } else if (message instanceof TrialRequest request) {
       coordinator.onTrialRequest(request.fingerprint(), sender::send);
@@ -100,7 +100,7 @@
   }
 
   @Override
-  public void persist(CrashNews quarantined) {
+  public void persist(CrashUpdate quarantined) {
     quarantineStore.persist(quarantined);
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.core.fleet.DepartureReport;
 import io.cuminvalve.core.fleet.DepartureTracker;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.DepartureNews;
+import io.cuminvalve.core.protocol.DepartureUpdate;
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import io.cuminvalve.kernel.MillisClock;
@@ -22,11 +22,11 @@
  * StateExchange}, because the registry may report it much later or never. Confined to the control
  * thread.
  */
-final class DepartureCoordinator implements StateExchange.LocalState<DepartureNews> {
+final class DepartureCoordinator implements StateExchange.LocalState<DepartureUpdate> {
 
   private final DepartureTracker ledger = new DepartureTracker();
   private final FleetMessenger peers;
-  private final StateExchange<DepartureNews> exchange;
+  private final StateExchange<DepartureUpdate> exchange;
   private final MillisClock clock;
   private final DecisionLog log;
   private final Consumer<Set<TargetId>> onChange;
@@ -59,7 +59,7 @@
   }
 
   /** Processes departures sent by another process. */
-  void onNews(DepartureNews update, Consumer<FleetMessage> sender) {
+  void onNews(DepartureUpdate update, Consumer<FleetMessage> sender) {
     Set<TargetId> learned = new HashSet<>();
     for (DepartureReport report : update.reports()) {
       if (ledger.merge(report, clock.nowMs())) {
@@ -81,8 +81,8 @@
     peers.sendToFollowers(updateOf(changed));
   }
 
-  private DepartureNews updateOf(Collection<TargetId> targets) {
-    return new DepartureNews(false, ledger.reports(targets, clock.nowMs()));
+  private DepartureUpdate updateOf(Collection<TargetId> targets) {
+    return new DepartureUpdate(false, ledger.reports(targets, clock.nowMs()));
   }
 
   /** Processes the digest of departures in the hello of another process. */
@@ -108,12 +108,12 @@
   }
 
   @Override
-  public DepartureNews complete() {
-    return new DepartureNews(true, ledger.reports(ledger.targets(), clock.nowMs()));
+  public DepartureUpdate complete() {
+    return new DepartureUpdate(true, ledger.reports(ledger.targets(), clock.nowMs()));
   }
 
   @Override
-  public Optional<DepartureNews> missingFrom(DepartureNews received) {
+  public Optional<DepartureUpdate> missingFrom(DepartureUpdate received) {
     Set<TargetId> missing = new HashSet<>(ledger.targets());
     received.reports().forEach(report -> missing.remove(report.target()));
     return missing.isEmpty() ? Optional.empty() : Optional.of(updateOf(missing));
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.control;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.DepartureNews;
+import io.cuminvalve.core.protocol.DepartureUpdate;
 import io.cuminvalve.core.protocol.FleetHello;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -65,7 +65,7 @@
 
   /** Processes a message if it concerns departures. */
   void onMessage(PeerChannel sender, PeerMessage message) {
-    if (message instanceof DepartureNews update) {
+    if (message instanceof DepartureUpdate update) {
       coordinator.onNews(update, sender::send);
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.HolderEnded;
-import io.cuminvalve.core.protocol.LeasesLeft;
+import io.cuminvalve.core.protocol.RemainingLeases;
+import io.cuminvalve.core.protocol.TermSuperseded;
 import io.cuminvalve.kernel.MillisClock;
 import io.cuminvalve.wire.PeerChannel;
 import io.cuminvalve.wire.PeerNetwork;
@@ -48,7 +48,7 @@
    */
   void onLost(TermCoordinator ended) {
     coordinator = Optional.empty();
-    LeasesLeft remaining = new LeasesLeft(ended.term(), ended.leasesLeft());
+    RemainingLeases remaining = new RemainingLeases(ended.term(), ended.leasesLeft());
     earlierLeases.onOwnTermEnded(remaining, clock.nowMs());
     subscribers.sendToAll(remaining);
   }
@@ -58,13 +58,13 @@
     if (complete) {
       return;
     }
-    HolderEnded request = new HolderEnded(coordinator.orElseThrow().term());
+    TermSuperseded request = new TermSuperseded(coordinator.orElseThrow().term());
     formerHolder.ifPresent(address -> network.send(address, request));
     subscribers.sendToAll(request);
   }
 
   /** Handles the remaining leases of an ended holder, received from another gateway. */
-  void onLeasesLeft(LeasesLeft remaining) {
+  void onLeasesLeft(RemainingLeases remaining) {
     long nowMs = clock.nowMs();
     earlierLeases.onReceived(remaining, nowMs);
     coordinator.ifPresent(holder -> complete |= holder.onLeasesLeft(remaining, nowMs));
@@ -74,7 +74,7 @@
    * Handles the request of the holder of a later term. If this process still holds an earlier term,
    * it stops at once.
    */
-  void onHolderEnded(PeerChannel sender, HolderEnded ended) {
+  void onHolderEnded(PeerChannel sender, TermSuperseded ended) {
     if (coordinator.isPresent() && coordinator.get().term() < ended.term()) {
       onTermReplaced.run();
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeases.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.LeaseLeft;
-import io.cuminvalve.core.protocol.LeasesLeft;
+import io.cuminvalve.core.protocol.RemainingLease;
+import io.cuminvalve.core.protocol.RemainingLeases;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -15,18 +15,18 @@
  */
 final class EarlierLeases {
 
-  private Snapshot own = new Snapshot(new LeasesLeft(0, List.of()), 0);
+  private Snapshot own = new Snapshot(new RemainingLeases(0, List.of()), 0);
   private Snapshot received = own;
 
   /** Records the remaining leases at the end of a term of this process. */
-  void onOwnTermEnded(LeasesLeft remaining, long nowMs) {
+  void onOwnTermEnded(RemainingLeases remaining, long nowMs) {
     own = new Snapshot(remaining, nowMs);
   }
 
   /**
    * Records remaining leases received from another process, its own or those of an earlier holder.
    */
-  void onReceived(LeasesLeft remaining, long nowMs) {
+  void onReceived(RemainingLeases remaining, long nowMs) {
     if (remaining.term() > received.remaining().term()) {
       received = new Snapshot(remaining, nowMs);
     }
@@ -41,7 +41,7 @@
    * Returns the leases of the newest known term, if it is earlier than the given one, with the time
    * that each has left.
    */
-  Optional<LeasesLeft> leasesBefore(long term, long nowMs) {
+  Optional<RemainingLeases> leasesBefore(long term, long nowMs) {
     Snapshot newest = own.remaining().term() > received.remaining().term() ? own : received;
     if (newest.remaining().term() == 0 || newest.remaining().term() >= term) {
       return Optional.empty();
@@ -55,15 +55,15 @@
    * @param remaining the leases; not null
    * @param takenMs the point in time; milliseconds
    */
-  record Snapshot(LeasesLeft remaining, long takenMs) {
+  record Snapshot(RemainingLeases remaining, long takenMs) {
 
-    private LeasesLeft at(long nowMs) {
+    private RemainingLeases at(long nowMs) {
       long elapsedMs = nowMs - takenMs;
-      List<LeaseLeft> running = new ArrayList<>();
-      for (LeaseLeft lease : remaining.leases()) {
+      List<RemainingLease> running = new ArrayList<>();
+      for (RemainingLease lease : remaining.leases()) {
         if (lease.leftMs() > elapsedMs) {
           running.add(
-              new LeaseLeft(
+              new RemainingLease(
                   lease.service(),
                   lease.firstKey(),
                   lease.lastKey(),
@@ -71,7 +71,7 @@
                   lease.leftMs() - elapsedMs));
         }
       }
-      return new LeasesLeft(remaining.term(), running);
+      return new RemainingLeases(remaining.term(), running);
     }
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -3,26 +3,26 @@
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.ConfigurationNews;
-import io.cuminvalve.core.protocol.FleetBeat;
+import io.cuminvalve.core.protocol.ConfigurationUpdate;
+import io.cuminvalve.core.protocol.FleetHeartbeat;
 import io.cuminvalve.core.protocol.FleetHello;
 import io.cuminvalve.core.protocol.FleetMessage;
-import io.cuminvalve.core.protocol.FleetNews;
-import io.cuminvalve.core.protocol.FollowerBeat;
-import io.cuminvalve.core.protocol.HolderEnded;
+import io.cuminvalve.core.protocol.FleetSnapshot;
+import io.cuminvalve.core.protocol.FollowerHeartbeat;
 import io.cuminvalve.core.protocol.KeyLoadReport;
-import io.cuminvalve.core.protocol.LeasesLeft;
 import io.cuminvalve.core.protocol.PeerMessage;
+import io.cuminvalve.core.protocol.RemainingLeases;
 import io.cuminvalve.core.protocol.RoutesChange;
 import io.cuminvalve.core.protocol.RoutesPush;
 import io.cuminvalve.core.protocol.ServiceRanges;
 import io.cuminvalve.core.protocol.TargetBackoff;
 import io.cuminvalve.core.protocol.TargetBackoffsReport;
+import io.cuminvalve.core.protocol.TargetLatencyReport;
 import io.cuminvalve.core.protocol.TargetReplaced;
-import io.cuminvalve.core.protocol.TargetTimesReport;
 import io.cuminvalve.core.protocol.TargetsChange;
 import io.cuminvalve.core.protocol.TargetsPush;
-import io.cuminvalve.core.quarantine.CrashLedger;
+import io.cuminvalve.core.protocol.TermSuperseded;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.gateway.GatewayPorts;
 import io.cuminvalve.gateway.GatewaySettings;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -162,7 +162,7 @@
       Runnable onTermReplaced,
       TermView terms,
       Deputies deputies,
-      CrashLedger ledger) {
+      CrashTracker ledger) {
     this.network = network;
     this.state = state;
     this.control = control;
@@ -262,22 +262,22 @@
   void onMessage(PeerChannel sender, PeerMessage message) {
     if (message instanceof FleetHello hello) {
       onHello(sender, hello);
-    } else if (message instanceof FleetNews news) {
+    } else if (message instanceof FleetSnapshot news) {
       onNews(news);
-    } else if (message instanceof HolderEnded ended) {
+    } else if (message instanceof TermSuperseded ended) {
       earlierLeases.onHolderEnded(sender, ended);
-    } else if (message instanceof LeasesLeft remaining) {
+    } else if (message instanceof RemainingLeases remaining) {
       earlierLeases.onLeasesLeft(remaining);
     } else if (message instanceof KeyLoadReport
-        || message instanceof TargetTimesReport
+        || message instanceof TargetLatencyReport
         || message instanceof TargetReplaced
         || message instanceof TargetBackoffsReport) {
       coordinator.ifPresent(current -> current.onReport(message));
-    } else if (message instanceof FleetBeat beat) {
+    } else if (message instanceof FleetHeartbeat beat) {
       onBeat(sender, beat);
-    } else if (message instanceof FollowerBeat beat) {
+    } else if (message instanceof FollowerHeartbeat beat) {
       onFollowerBeat(beat);
-    } else if (message instanceof ConfigurationNews news) {
+    } else if (message instanceof ConfigurationUpdate news) {
       onConfigurationNews(news);
     } else if (message instanceof TargetsPush push) {
       onTargetsPush(push);
@@ -379,7 +379,7 @@
     }
   }
 
-  private void onFollowerBeat(FollowerBeat beat) {
+  private void onFollowerBeat(FollowerHeartbeat beat) {
     if (coordinator.isPresent()) {
       return;
     }
@@ -448,7 +448,7 @@
    * Handles the answer of the holder to a hello. The time that the beat was in transit is unknown,
    * so its content is taken to be as old as the hello.
    */
-  private void onBeat(PeerChannel holder, FleetBeat beat) {
+  private void onBeat(PeerChannel holder, FleetHeartbeat beat) {
     UpperTime helloSent = new UpperTime(beat.helloSentMs());
     UpperTime confirmed = helloSent.minusMs(beat.termAgeMs());
     if (coordinator.isPresent() || !terms.onHeard(beat.term(), holder.peerAddress(), confirmed)) {
@@ -479,7 +479,7 @@
    * A gateway that follows the registry itself returns to the holder once the state of the holder
    * is nearly as new.
    */
-  private void confirmTargets(FleetBeat beat, UpperTime helloSent) {
+  private void confirmTargets(FleetHeartbeat beat, UpperTime helloSent) {
     TargetsPush received = view.targets();
     boolean current = received.term() == beat.term() && received.version() >= beat.targetsVersion();
     if (!current) {
@@ -548,7 +548,7 @@
   private void sendSnapshot(PeerChannel sender) {
     StoreValue known = configuration.newest().orElse(new StoreValue(new byte[0], 0));
     sender.send(
-        new FleetNews(
+        new FleetSnapshot(
             known.revision(),
             known.value(),
             coordinator.isPresent() ? network.localAddress() : holderAddress.orElse(""),
@@ -568,11 +568,11 @@
    */
   void announceConfiguration(long revision) {
     if (coordinator.isPresent()) {
-      subscribers.sendToAll(new ConfigurationNews(revision, new byte[0]));
+      subscribers.sendToAll(new ConfigurationUpdate(revision, new byte[0]));
     }
   }
 
-  private void onConfigurationNews(ConfigurationNews news) {
+  private void onConfigurationNews(ConfigurationUpdate news) {
     if (news.configuration().length > 0) {
       configuration.onNews(new StoreValue(news.configuration(), news.revision()));
     } else {
@@ -580,7 +580,7 @@
     }
   }
 
-  private void onNews(FleetNews news) {
+  private void onNews(FleetSnapshot news) {
     if (news.configuration().length > 0) {
       configuration.onNews(new StoreValue(news.configuration(), news.configurationRevision()));
     }
@@ -602,7 +602,7 @@
       answerAsHolder(sender, hello, coordinator.get());
     } else {
       sender.send(
-          new FollowerBeat(
+          new FollowerHeartbeat(
               terms.newest(),
               holderAddress.orElse(""),
               terms.ageMs(),
@@ -615,13 +615,13 @@
     departures.onHello(sender, hello);
     configuration
         .missingFrom(hello.configurationRevision())
-        .ifPresent(value -> sender.send(new ConfigurationNews(value.revision(), value.value())));
+        .ifPresent(value -> sender.send(new ConfigurationUpdate(value.revision(), value.value())));
   }
 
   private void answerAsHolder(PeerChannel sender, FleetHello hello, TermCoordinator holder) {
     subscribers.onHello(sender, hello, holder.term(), view, clock.nowMs());
     sender.send(
-        new FleetBeat(
+        new FleetHeartbeat(
             holder.term(),
             subscribers.count() + 1,
             clock.upper().sinceMs(holder.targetsConfirmed()),
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuarantineStore.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuarantineStore.java
@@ -1,6 +1,6 @@
 package io.cuminvalve.gateway.control;
 
-import io.cuminvalve.core.protocol.CrashNews;
+import io.cuminvalve.core.protocol.CrashUpdate;
 import io.cuminvalve.core.protocol.PeerMessage;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import io.cuminvalve.kernel.CodedException;
@@ -31,8 +31,8 @@
   private final ControlThread control;
   private final DecisionLog log;
   private final RecordCodec codec;
-  private final Consumer<CrashNews> onRead;
-  private Optional<CrashNews> unwritten = Optional.empty();
+  private final Consumer<CrashUpdate> onRead;
+  private Optional<CrashUpdate> unwritten = Optional.empty();
   private long revision;
   private boolean open;
   private boolean busy;
@@ -42,7 +42,7 @@
       ControlThread control,
       DecisionLog log,
       RecordCodec codec,
-      Consumer<CrashNews> onRead) {
+      Consumer<CrashUpdate> onRead) {
     this.store = store;
     this.control = control;
     this.log = log;
@@ -65,7 +65,7 @@
   }
 
   /** Replaces the stored quarantine as soon as the store is available. */
-  void persist(CrashNews quarantined) {
+  void persist(CrashUpdate quarantined) {
     if (open) {
       unwritten = Optional.of(quarantined);
       writeNext();
@@ -94,7 +94,7 @@
   private void decode(StoreValue value) {
     try {
       PeerMessage stored = codec.decodeMessage(value.value());
-      if (stored instanceof CrashNews news) {
+      if (stored instanceof CrashUpdate news) {
         onRead.accept(news);
       }
     } catch (CodedException unreadable) {
@@ -106,14 +106,14 @@
     if (!open || busy || unwritten.isEmpty()) {
       return;
     }
-    CrashNews next = unwritten.get();
+    CrashUpdate next = unwritten.get();
     busy = true;
     store
         .write(KEY, codec.encodeMessage(next), revision, Optional.empty())
         .thenAcceptAsync(result -> onWritten(result, next), control);
   }
 
-  private void onWritten(WriteResult result, CrashNews written) {
+  private void onWritten(WriteResult result, CrashUpdate written) {
     busy = false;
     if (!open) {
       return;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
@@ -2,7 +2,7 @@
 
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.protocol.FleetMessage;
-import io.cuminvalve.core.protocol.LimitNews;
+import io.cuminvalve.core.protocol.LimitUpdate;
 import io.cuminvalve.core.protocol.QuotaReply;
 import io.cuminvalve.core.protocol.QuotaRequest;
 import io.cuminvalve.core.quota.LimitReport;
@@ -22,7 +22,7 @@
  *
  * <p>A {@link StateExchange} replicates the limits to all gateways. Confined to the control thread.
  */
-final class QuotaCoordinator implements StateExchange.LocalState<LimitNews> {
+final class QuotaCoordinator implements StateExchange.LocalState<LimitUpdate> {
 
   /** The gateways that can be sent messages. */
   interface Peers extends FleetMessenger {
@@ -42,7 +42,7 @@
   private final String process;
   private final TargetQuotas quotas;
   private final Peers peers;
-  private final StateExchange<LimitNews> exchange;
+  private final StateExchange<LimitUpdate> exchange;
   private final MillisClock clock;
   private final Map<String, Long> lastHelloMs = new HashMap<>();
   private Optional<QuotaIssuer> issuer = Optional.empty();
@@ -80,11 +80,11 @@
   /** Processes limits that this gateway saw begin, change or end. */
   void onSeen(List<TargetId> targets) {
     applyLimits(targets);
-    exchange.tellHolderAndDeputies(new LimitNews(false, quotas.reports(targets)));
+    exchange.tellHolderAndDeputies(new LimitUpdate(false, quotas.reports(targets)));
   }
 
   /** Processes limits sent by another process. */
-  void onNews(LimitNews update, Consumer<FleetMessage> sender) {
+  void onNews(LimitUpdate update, Consumer<FleetMessage> sender) {
     applyLimits(quotas.merge(update.reports()));
     if (update.complete()) {
       exchange.onComplete(update, sender);
@@ -92,7 +92,7 @@
   }
 
   @Override
-  public Optional<LimitNews> missingFrom(LimitNews received) {
+  public Optional<LimitUpdate> missingFrom(LimitUpdate received) {
     Map<TargetId, LimitReport> known = new HashMap<>();
     received.reports().forEach(report -> known.put(report.target(), report));
     List<LimitReport> missing = new ArrayList<>();
@@ -103,7 +103,7 @@
         missing.add(local);
       }
     }
-    return missing.isEmpty() ? Optional.empty() : Optional.of(new LimitNews(false, missing));
+    return missing.isEmpty() ? Optional.empty() : Optional.of(new LimitUpdate(false, missing));
   }
 
   private void applyLimits(List<TargetId> changed) {
@@ -111,7 +111,7 @@
       return;
     }
     issuer.get().setLimits(quotas.limits(), clock.nowMs());
-    peers.sendToFollowers(new LimitNews(false, quotas.reports(changed)));
+    peers.sendToFollowers(new LimitUpdate(false, quotas.reports(changed)));
   }
 
   /** Processes the digest of limits in the hello of another process. */
@@ -130,8 +130,8 @@
   }
 
   @Override
-  public LimitNews complete() {
-    return new LimitNews(true, quotas.reports());
+  public LimitUpdate complete() {
+    return new LimitUpdate(true, quotas.reports());
   }
 
   /** Requests quota for a target with a limit. */
@@ -168,7 +168,7 @@
             clock.nowMs())
         .ifPresentOrElse(
             grant -> sender.accept(new QuotaReply(limit.target(), request.priority(), grant)),
-            () -> sender.accept(new LimitNews(false, quotas.reports(List.of(limit.target())))));
+            () -> sender.accept(new LimitUpdate(false, quotas.reports(List.of(limit.target())))));
   }
 
   private int fleetSize() {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
@@ -18,7 +18,7 @@
 import io.cuminvalve.core.lease.LeaseManager;
 import io.cuminvalve.core.lease.RangeRoute;
 import io.cuminvalve.core.protocol.KeyLoadReport;
-import io.cuminvalve.core.protocol.TargetTime;
+import io.cuminvalve.core.protocol.TargetLatency;
 import io.cuminvalve.gateway.observe.DecisionLog;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -149,9 +149,9 @@
    * Takes response times of a target. Times of a busy target are ignored, since they reflect its
    * queue rather than its speed.
    */
-  void onTargetTime(TargetTime time) {
+  void onTargetTime(TargetLatency time) {
     if (!busyTargets.contains(time.target())) {
-      speeds.onAnswers(time.target(), time.meanRelativeTime(), time.answers());
+      speeds.onAnswers(time.target(), time.meanRelativeLatency(), time.answers());
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
@@ -10,14 +10,14 @@
 import io.cuminvalve.core.lease.OwnershipTable;
 import io.cuminvalve.core.lease.TargetAddress;
 import io.cuminvalve.core.protocol.KeyLoadReport;
-import io.cuminvalve.core.protocol.LeaseLeft;
-import io.cuminvalve.core.protocol.LeasesLeft;
 import io.cuminvalve.core.protocol.PeerMessage;
+import io.cuminvalve.core.protocol.RemainingLease;
+import io.cuminvalve.core.protocol.RemainingLeases;
 import io.cuminvalve.core.protocol.ServiceRanges;
 import io.cuminvalve.core.protocol.TargetBackoffsReport;
+import io.cuminvalve.core.protocol.TargetLatency;
+import io.cuminvalve.core.protocol.TargetLatencyReport;
 import io.cuminvalve.core.protocol.TargetReplaced;
-import io.cuminvalve.core.protocol.TargetTime;
-import io.cuminvalve.core.protocol.TargetTimesReport;
 import io.cuminvalve.core.route.RoutingConfiguration;
 import io.cuminvalve.core.route.ServiceProfile;
 import io.cuminvalve.gateway.GatewayPorts;
@@ -112,7 +112,7 @@
   private boolean storedMayBeStale;
   private long idleUntilMs = Long.MIN_VALUE;
   private Optional<Runnable> onRewritten = Optional.empty();
-  private Optional<LeasesLeft> foreignLeases = Optional.empty();
+  private Optional<RemainingLeases> foreignLeases = Optional.empty();
   private long foreignLeasesAtMs;
   private boolean ready;
   private long tokenCount;
@@ -212,7 +212,7 @@
       if (service != null) {
         service.onKeyLoad(load);
       }
-    } else if (report instanceof TargetTimesReport times) {
+    } else if (report instanceof TargetLatencyReport times) {
       times.times().forEach(this::onTargetTime);
     } else if (report instanceof TargetReplaced replaced) {
       onReplacedTarget(replaced.target());
@@ -233,8 +233,8 @@
   }
 
   /** Returns all leases that may still be in force. */
-  List<LeaseLeft> leasesLeft() {
-    List<LeaseLeft> result = new ArrayList<>();
+  List<RemainingLease> leasesLeft() {
+    List<RemainingLease> result = new ArrayList<>();
     long nowMs = clock.nowMs();
     planners.values().forEach(service -> result.addAll(service.desk().leasesLeft(nowMs)));
     return result;
@@ -246,7 +246,7 @@
    *
    * @return whether the list comes from the last writer, as far as is known yet
    */
-  boolean onLeasesLeft(LeasesLeft remaining, long receivedMs) {
+  boolean onLeasesLeft(RemainingLeases remaining, long receivedMs) {
     boolean newer = foreignLeases.isEmpty() || remaining.term() > foreignLeases.get().term();
     if (remaining.term() != 0 && remaining.term() < term && newer) {
       foreignLeases = Optional.of(remaining);
@@ -276,7 +276,7 @@
     }
   }
 
-  private void onTargetTime(TargetTime time) {
+  private void onTargetTime(TargetLatency time) {
     follower
         .register()
         .find(time.target())
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
@@ -1,8 +1,8 @@
 package io.cuminvalve.gateway.traffic;
 
 import io.cuminvalve.core.exchange.ExchangeEffect;
-import io.cuminvalve.core.exchange.ExchangeMachine;
 import io.cuminvalve.core.exchange.ExchangeProfile;
+import io.cuminvalve.core.exchange.ExchangeStateMachine;
 import io.cuminvalve.core.route.Route;
 import io.cuminvalve.core.route.RoutingConfiguration;
 import io.cuminvalve.core.send.SendCondition;
@@ -17,7 +17,7 @@
 
 /**
  * Processes one request from the moment it has been read to its single final response, by executing
- * the effects that {@link ExchangeMachine} decides on.
+ * the effects that {@link ExchangeStateMachine} decides on.
  *
  * <p>Decisions are made under this object's monitor, effects are executed without it.
  */
@@ -26,7 +26,7 @@
   private final ExchangeServices services;
   private final CallerRequest call;
   private final SlotRequest slotRequest;
-  private final ExchangeMachine machine;
+  private final ExchangeStateMachine machine;
   private final Runnable onEnded;
 
   private volatile Slot slot;
@@ -41,7 +41,7 @@
     this.onEnded = onEnded;
     this.slotRequest =
         new SlotRequest(call.route(), call.service(), call.key(), call.body().length, this);
-    this.machine = new ExchangeMachine(profileOf(call), this::tryTakeRetryBudget);
+    this.machine = new ExchangeStateMachine(profileOf(call), this::tryTakeRetryBudget);
   }
 
   private static ExchangeProfile profileOf(CallerRequest call) {
@@ -196,10 +196,10 @@
   }
 
   private void execute(ExchangeEffect effect) {
-    if (effect instanceof ExchangeEffect.SeekSlot seek) {
+    if (effect instanceof ExchangeEffect.AcquireSlot seek) {
       slotWaitTimer = services.timers().schedule(this::onSlotWaitTimeout, seek.patienceMs());
       services.dispatcher().submit(slotRequest);
-    } else if (effect instanceof ExchangeEffect.StopSeeking) {
+    } else if (effect instanceof ExchangeEffect.CancelSlotRequest) {
       services.dispatcher().withdraw(slotRequest);
     } else if (effect instanceof ExchangeEffect.Send) {
       send();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.gateway.traffic;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.TargetTime;
+import io.cuminvalve.core.protocol.TargetLatency;
 import java.util.Optional;
 
 /**
@@ -106,11 +106,12 @@
   }
 
   /** Returns the mean relative response time since the last call; empty without responses. */
-  Optional<TargetTime> takeTime(TargetId id) {
+  Optional<TargetLatency> takeTime(TargetId id) {
     if (unreportedResponses == 0) {
       return Optional.empty();
     }
-    TargetTime time = new TargetTime(id, unreportedTime / unreportedResponses, unreportedResponses);
+    TargetLatency time =
+        new TargetLatency(id, unreportedTime / unreportedResponses, unreportedResponses);
     unreportedTime = 0;
     unreportedResponses = 0;
     return Optional.of(time);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
@@ -4,11 +4,11 @@
 import io.cuminvalve.core.fleet.TargetPhase;
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.lease.LeaseTimings;
-import io.cuminvalve.core.protocol.FleetBeat;
+import io.cuminvalve.core.protocol.FleetHeartbeat;
 import io.cuminvalve.core.protocol.FleetHello;
 import io.cuminvalve.core.protocol.FleetMessage;
 import io.cuminvalve.core.protocol.PeerMessage;
-import io.cuminvalve.core.quarantine.CrashLedger;
+import io.cuminvalve.core.quarantine.CrashTracker;
 import io.cuminvalve.gateway.GatewayPorts;
 import io.cuminvalve.gateway.GatewaySettings;
 import io.cuminvalve.gateway.RequestHeaders;
@@ -111,7 +111,7 @@
             () -> {},
             new Terms(),
             new Deputies(OWN),
-            new CrashLedger(0.5));
+            new CrashTracker(0.5));
   }
 
   void start() {
@@ -132,12 +132,12 @@
   }
 
   /** Returns a beat that confirms whatever targets its sender has sent. */
-  FleetBeat beat(long term, long registryAgeMs) {
+  FleetHeartbeat beat(long term, long registryAgeMs) {
     return beat(term, registryAgeMs, 0, clock.upper().ms());
   }
 
-  FleetBeat beat(long term, long registryAgeMs, long targetsVersion, long helloSentMs) {
-    return new FleetBeat(
+  FleetHeartbeat beat(long term, long registryAgeMs, long targetsVersion, long helloSentMs) {
+    return new FleetHeartbeat(
         term, processes, registryAgeMs, 0, 1, 0, List.of(OWN), targetsVersion, helloSentMs);
   }
 
@@ -335,7 +335,7 @@
       sendToFollower(beat(clock.upper().ms()));
     }
 
-    private FleetBeat beat(long helloSentMs) {
+    private FleetHeartbeat beat(long helloSentMs) {
       boolean hasPublished = view.targets().term() == term;
       long version = hasPublished ? view.targets().version() : Long.MAX_VALUE;
       return follower.beat(term, registry.ageMs(), version, helloSentMs);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuarantineStoreTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuarantineStoreTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.protocol.CrashNews;
+import io.cuminvalve.core.protocol.CrashUpdate;
 import io.cuminvalve.core.quarantine.CrashReport;
 import io.cuminvalve.core.quarantine.RequestFingerprint;
 import io.cuminvalve.gateway.observe.DecisionLog;
@@ -24,7 +24,7 @@
   private final MemoryStore memory = new MemoryStore();
   private final ControlThread control = new ControlThread("test", FailureHandler.logging());
   private final DecisionLog log = new DecisionLog(() -> 0, 100, line -> {});
-  private final List<CrashNews> read = new ArrayList<>();
+  private final List<CrashUpdate> read = new ArrayList<>();
   private final QuarantineStore first = quarantineStore(update -> {});
   private final QuarantineStore second = quarantineStore(read::add);
 
@@ -82,14 +82,14 @@
     assertThat(read).containsExactly(update(3));
   }
 
-  private QuarantineStore quarantineStore(Consumer<CrashNews> onRead) {
+  private QuarantineStore quarantineStore(Consumer<CrashUpdate> onRead) {
     return new QuarantineStore(memory, control, log, new RecordCodec(), onRead);
   }
 
-  private static CrashNews update(int number) {
+  private static CrashUpdate update(int number) {
     RequestFingerprint fingerprint = new RequestFingerprint(number);
     TargetId target = new TargetId("core-" + number);
-    return new CrashNews(
+    return new CrashUpdate(
         false,
         List.of(
             new CrashReport(
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
@@ -6,7 +6,7 @@
 import io.cuminvalve.core.id.ServiceId;
 import io.cuminvalve.core.id.TargetId;
 import io.cuminvalve.core.protocol.FleetMessage;
-import io.cuminvalve.core.protocol.LimitNews;
+import io.cuminvalve.core.protocol.LimitUpdate;
 import io.cuminvalve.core.protocol.QuotaReply;
 import io.cuminvalve.core.protocol.QuotaRequest;
 import io.cuminvalve.gateway.traffic.QuotaTraffic;
@@ -218,7 +218,7 @@
         coordinator.onRequest("gateway-" + sender, request, reply -> send(this, sender, reply));
       } else if (message instanceof QuotaReply reply) {
         traffic.quotas().onReply(reply);
-      } else if (message instanceof LimitNews update) {
+      } else if (message instanceof LimitUpdate update) {
         coordinator.onNews(update, answer -> send(this, sender, answer));
       }
     }
