--- a/cuminvalve-bench/src/main/java/io/cuminvalve/bench/placement/PlannedCell.java
+++ b/cuminvalve-bench/src/main/java/io/cuminvalve/bench/placement/PlannedCell.java
@@ -37,7 +37,7 @@
   PlannedCell(CellSize size) {
     this.size = size;
     int[] nobody = new int[size.shards()];
-    Arrays.fill(nobody, ShardTable.NOBODY);
+    Arrays.fill(nobody, ShardTable.NO_TARGET);
     table = table(List.of(), nobody, nobody);
     for (int number = 0; number < size.instances(); number++) {
       set(number, TargetState.ACTIVE, 1);
@@ -76,7 +76,7 @@
 
   private static ShardTable table(List<TargetId> targets, int[] owners, int[] standbys) {
     int[] previousOwners = new int[owners.length];
-    Arrays.fill(previousOwners, ShardTable.NOBODY);
+    Arrays.fill(previousOwners, ShardTable.NO_TARGET);
     return new ShardTable(
         new CellId("bench"),
         new TableVersion(1, 1, 0),
--- a/cuminvalve-bench/src/main/java/io/cuminvalve/bench/slope/SampleTables.java
+++ b/cuminvalve-bench/src/main/java/io/cuminvalve/bench/slope/SampleTables.java
@@ -33,7 +33,7 @@
     int[] owners = random.ints(shards, 0, instances).toArray();
     int[] standbys = random.ints(shards, 0, instances).toArray();
     int[] previousOwners = new int[shards];
-    Arrays.fill(previousOwners, ShardTable.NOBODY);
+    Arrays.fill(previousOwners, ShardTable.NO_TARGET);
     long[] tokens = random.longs(shards, 2, MAX_TOKEN).toArray();
     List<TargetId> targets = new ArrayList<>();
     for (int number = 0; number < instances; number++) {
--- a/cuminvalve-controller/src/main/java/io/cuminvalve/controller/operation/CellReports.java
+++ b/cuminvalve-controller/src/main/java/io/cuminvalve/controller/operation/CellReports.java
@@ -99,7 +99,7 @@
         target(table, table.previousOwner(shard)),
         table.token(shard),
         table.version().toString(),
-        table.owner(shard) != ShardTable.NOBODY && !table.isMoving(shard),
+        table.owner(shard) != ShardTable.NO_TARGET && !table.isMoving(shard),
         moves.isEmpty() ? "kept since before this controller took the term" : moves.get(0).reason(),
         moves);
   }
@@ -133,13 +133,13 @@
   }
 
   private static TargetId target(ShardTable table, int index) {
-    return index == ShardTable.NOBODY ? null : table.targets().get(index);
+    return index == ShardTable.NO_TARGET ? null : table.targets().get(index);
   }
 
   private static int countOwnerless(ShardTable table) {
     return (int)
         IntStream.range(0, table.shardCount())
-            .filter(shard -> table.owner(shard) == ShardTable.NOBODY)
+            .filter(shard -> table.owner(shard) == ShardTable.NO_TARGET)
             .count();
   }
 
@@ -217,10 +217,10 @@
   private static void countShards(
       ShardTable table, Map<TargetId, Integer> owned, Map<TargetId, Integer> standby) {
     for (int shard = 0; shard < table.shardCount(); shard++) {
-      if (table.owner(shard) != ShardTable.NOBODY) {
+      if (table.owner(shard) != ShardTable.NO_TARGET) {
         owned.merge(table.targets().get(table.owner(shard)), 1, Integer::sum);
       }
-      if (table.standby(shard) != ShardTable.NOBODY) {
+      if (table.standby(shard) != ShardTable.NO_TARGET) {
         standby.merge(table.targets().get(table.standby(shard)), 1, Integer::sum);
       }
     }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/authority/internal/InstalledTable.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/authority/internal/InstalledTable.java
@@ -164,7 +164,7 @@
 
   private static TargetId ownerOf(ShardTable table, int shard) {
     int owner = table.owner(shard);
-    return owner == ShardTable.NOBODY ? null : table.targets().get(owner);
+    return owner == ShardTable.NO_TARGET ? null : table.targets().get(owner);
   }
 
   private boolean openAll(int[] shards) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/authority/internal/MoveLog.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/authority/internal/MoveLog.java
@@ -57,8 +57,8 @@
   }
 
   private static TargetId ownerOf(ShardTable table, int shard) {
-    int owner = shard < table.shardCount() ? table.owner(shard) : ShardTable.NOBODY;
-    return owner == ShardTable.NOBODY ? null : table.targets().get(owner);
+    int owner = shard < table.shardCount() ? table.owner(shard) : ShardTable.NO_TARGET;
+    return owner == ShardTable.NO_TARGET ? null : table.targets().get(owner);
   }
 
   private static MoveReason reasonOf(PlacementPlan plan, int shard) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/authority/internal/TableBuilder.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/authority/internal/TableBuilder.java
@@ -47,7 +47,7 @@
   public TableBuilder settle(MoveExecutor moves) {
     for (int shard = 0; shard < owners.length; shard++) {
       if (present.isMoving(shard) && moves.isOpen(shard)) {
-        previousOwners[shard] = ShardTable.NOBODY;
+        previousOwners[shard] = ShardTable.NO_TARGET;
       }
     }
     return this;
@@ -76,7 +76,7 @@
     for (int shard = 0; shard < owners.length; shard++) {
       int planned = plan.owners()[shard];
       boolean moves = planned != owners[shard];
-      boolean allowed = planned != ShardTable.NOBODY && executor.mayReassign(shard);
+      boolean allowed = planned != ShardTable.NO_TARGET && executor.mayReassign(shard);
       if (moves && !allowed) {
         // The planned standby goes with the planned owner; taken alone it would change at each
         // plan.
@@ -97,7 +97,7 @@
    */
   public void activateStandby(int shard) {
     move(shard, standbys[shard], new FencingToken(tokens[shard]).standby());
-    standbys[shard] = ShardTable.NOBODY;
+    standbys[shard] = ShardTable.NO_TARGET;
   }
 
   /**
@@ -106,12 +106,12 @@
    */
   public void distrustStandbys() {
     for (int shard = 0; shard < owners.length; shard++) {
-      if (owners[shard] == ShardTable.NOBODY) {
+      if (owners[shard] == ShardTable.NO_TARGET) {
         continue;
       }
       tokens[shard] = new FencingToken(tokens[shard]).next().value();
-      if (previousOwners[shard] == ShardTable.NOBODY) {
-        boolean hasStandby = standbys[shard] != ShardTable.NOBODY;
+      if (previousOwners[shard] == ShardTable.NO_TARGET) {
+        boolean hasStandby = standbys[shard] != ShardTable.NO_TARGET;
         previousOwners[shard] = hasStandby ? standbys[shard] : owners[shard];
       }
     }
@@ -163,7 +163,7 @@
 
   private void move(int shard, int to, FencingToken token) {
     // A first owner has no predecessor; it counts as its own, so that it gets a grant like others.
-    previousOwners[shard] = owners[shard] == ShardTable.NOBODY ? to : owners[shard];
+    previousOwners[shard] = owners[shard] == ShardTable.NO_TARGET ? to : owners[shard];
     owners[shard] = to;
     tokens[shard] = token.value();
   }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/authority/internal/TablePlanning.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/authority/internal/TablePlanning.java
@@ -205,12 +205,12 @@
 
   private boolean isOwnerLost(ShardTable table, int shard) {
     int owner = table.owner(shard);
-    return owner != ShardTable.NOBODY && targets.isLost(table.targets().get(owner));
+    return owner != ShardTable.NO_TARGET && targets.isLost(table.targets().get(owner));
   }
 
   private boolean isStandbyUsable(ShardTable table, int shard, long nowMs) {
     int standby = table.standby(shard);
-    if (standby == ShardTable.NOBODY) {
+    if (standby == ShardTable.NO_TARGET) {
       return false;
     }
     return targets.state(table.targets().get(standby), nowMs) != TargetState.LOST;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/HotKeyPlacement.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/HotKeyPlacement.java
@@ -30,11 +30,11 @@
    * @param targets the targets that may own keys; not null
    * @param loads the load of each key; not null
    * @param speeds the speed of each target; not null
-   * @param mostMoves at most so many
+   * @param maxMoves at most so many
    * @return empty if every hot key is where it should be; never null
    */
   public List<RangeMove> plan(
-      List<TargetLoad> targets, KeyLoads loads, TargetSpeeds speeds, int mostMoves) {
+      List<TargetLoad> targets, KeyLoads loads, RelativeLatencies speeds, int maxMoves) {
     List<HotKey> hotKeys = new ArrayList<>();
     List<TargetLoad> free = new ArrayList<>();
     for (TargetLoad target : targets) {
@@ -50,7 +50,7 @@
     for (HotKey hot : hotKeys) {
       boolean shares = keeping.contains(hot.owner().id());
       Optional<TargetLoad> better = fastest(free, hot.owner(), shares, speeds);
-      if (better.isPresent() && moves.size() < mostMoves) {
+      if (better.isPresent() && moves.size() < maxMoves) {
         free.remove(better.get());
         KeyRange keys = new KeyRange(hot.key(), hot.key());
         moves.add(new RangeMove(keys, hot.owner().id(), better.get().id()));
@@ -63,14 +63,14 @@
 
   /** A target with a hotter key has no room for another: then any free one is better. */
   private static Optional<TargetLoad> fastest(
-      List<TargetLoad> free, TargetLoad owner, boolean shares, TargetSpeeds speeds) {
+      List<TargetLoad> free, TargetLoad owner, boolean shares, RelativeLatencies speeds) {
     double worthwhile = shares ? Double.MAX_VALUE : costOf(owner, speeds) / WORTHWHILE;
     return free.stream()
         .filter(target -> costOf(target, speeds) < worthwhile)
         .min(Comparator.comparingDouble(target -> costOf(target, speeds)));
   }
 
-  private static double costOf(TargetLoad target, TargetSpeeds speeds) {
+  private static double costOf(TargetLoad target, RelativeLatencies speeds) {
     return speeds.of(target.id()) / target.capacity();
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/MovePlanner.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/MovePlanner.java
@@ -47,7 +47,7 @@
    * @param targets how many targets the service has
    * @return at least 1
    */
-  public static int mostMoves(int targets) {
+  public static int maxMoves(int targets) {
     return Math.max(LEAST_MOVES, targets / TARGETS_PER_MOVE);
   }
 
@@ -59,8 +59,8 @@
    * @param speeds the speed of each target; not null
    * @return moves that do not overlap; never null
    */
-  public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, TargetSpeeds speeds) {
-    int most = mostMoves(targets.size());
+  public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, RelativeLatencies speeds) {
+    int most = maxMoves(targets.size());
     List<RangeMove> hot = hotKeys.plan(targets, loads, speeds, most);
     List<RangeMove> moves = new ArrayList<>(hot);
     moves.addAll(balancer.plan(after(hot, targets), loads, most - hot.size()));
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeBalancer.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeBalancer.java
@@ -33,10 +33,10 @@
    *
    * @param targets the targets that may own keys; not null
    * @param loads the load of each key; not null
-   * @param mostMoves at most so many
+   * @param maxMoves at most so many
    * @return never null
    */
-  public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, int mostMoves) {
+  public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, int maxMoves) {
     List<Share> shares = new ArrayList<>();
     double busy = 0;
     double slots = 0;
@@ -48,7 +48,7 @@
     }
     double mean = slots == 0 ? 0 : busy / slots;
     List<RangeMove> moves = new ArrayList<>();
-    while (moves.size() < mostMoves && shares.size() > 1) {
+    while (moves.size() < maxMoves && shares.size() > 1) {
       shares.sort(Comparator.comparingDouble(Share::utilisation));
       Share from = shares.get(shares.size() - 1);
       Share to = shares.get(0);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeTidier.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeDefragmenter.java
@@ -19,7 +19,7 @@
  *
  * @since 0.2
  */
-public final class RangeTidier {
+public final class RangeDefragmenter {
 
   /** Wider ranges are no fragments. */
   private static final int MAX_KEYS = 1_024;
@@ -38,28 +38,28 @@
    *
    * @param targets the targets with the ranges that may be moved; not null
    * @param loads the load of each key; not null
-   * @param mostMoves at most so many
+   * @param maxMoves at most so many
    * @return never null
    */
-  public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, int mostMoves) {
+  public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, int maxMoves) {
     Map<TargetId, TargetLoad> byId = new HashMap<>();
-    List<Owned> owned = new ArrayList<>();
+    List<OwnedRange> owned = new ArrayList<>();
     for (TargetLoad target : targets) {
       byId.put(target.id(), target);
-      target.ranges().forEach(range -> owned.add(new Owned(range, target.id())));
+      target.ranges().forEach(range -> owned.add(new OwnedRange(range, target.id())));
     }
     owned.sort(Comparator.comparingInt(one -> one.range().first()));
     double evenShare = (double) KeyRange.KEY_COUNT / targets.size();
     double mostKeys = Math.min(MAX_KEYS, FRAGMENT_SHARE * evenShare);
     List<RangeMove> moves = new ArrayList<>();
     Set<TargetId> used = new HashSet<>();
-    for (int i = 0; i < owned.size() && moves.size() < mostMoves; i++) {
-      Owned fragment = owned.get(i);
+    for (int i = 0; i < owned.size() && moves.size() < maxMoves; i++) {
+      OwnedRange fragment = owned.get(i);
       boolean isOnly = byId.get(fragment.owner()).ranges().size() == 1;
       if (isOnly || !isFragment(fragment.range(), mostKeys, loads)) {
         continue;
       }
-      for (Owned neighbour : neighbours(owned, i)) {
+      for (OwnedRange neighbour : neighbours(owned, i)) {
         boolean fits =
             takesMore(byId.get(neighbour.owner()), loads)
                 && !used.contains(neighbour.owner())
@@ -83,9 +83,9 @@
     return target.busySlots(loads) / target.capacity() < MAX_SHARE;
   }
 
-  private static List<Owned> neighbours(List<Owned> owned, int index) {
-    List<Owned> result = new ArrayList<>();
-    Owned one = owned.get(index);
+  private static List<OwnedRange> neighbours(List<OwnedRange> owned, int index) {
+    List<OwnedRange> result = new ArrayList<>();
+    OwnedRange one = owned.get(index);
     if (index > 0 && owned.get(index - 1).range().last() + 1 == one.range().first()) {
       result.add(owned.get(index - 1));
     }
@@ -98,5 +98,5 @@
   }
 
   /** A range and its owner. */
-  private record Owned(KeyRange range, TargetId owner) {}
+  private record OwnedRange(KeyRange range, TargetId owner) {}
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/TargetSpeeds.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RelativeLatencies.java
@@ -13,7 +13,7 @@
  *
  * @since 0.2
  */
-public final class TargetSpeeds {
+public final class RelativeLatencies {
 
   /** After so many answers the mean of the past counts half. */
   private static final double HALF_SAMPLES = 60;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentDesk.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentCoordinator.java
@@ -33,7 +33,7 @@
  *
  * @since 0.1
  */
-public final class IntentDesk {
+public final class IntentCoordinator {
 
   /** How many routers know of a claim before the request is sent. */
   static final int COPIES = 2;
@@ -47,8 +47,8 @@
   private final Incarnation incarnation;
   private final IntentSettings settings;
   private final IntentSink sink;
-  private final IntentKeeper keeper;
-  private final CatchUp catchUp = new CatchUp();
+  private final IntentReplica keeper;
+  private final IntentRecovery catchUp = new IntentRecovery();
   private final Map<RequestId, Claim> claims = new HashMap<>();
   private final Map<RouterId, IntentPullRequest> pullsDue = new HashMap<>();
   private final Map<RouterId, Incarnation> runs = new HashMap<>();
@@ -68,7 +68,7 @@
    * @param settings limits and times; not null
    * @param sink receives the effects; not null
    */
-  public IntentDesk(
+  public IntentCoordinator(
       CellId cell,
       RouterId self,
       Incarnation incarnation,
@@ -79,7 +79,7 @@
     this.incarnation = incarnation;
     this.settings = settings;
     this.sink = sink;
-    this.keeper = new IntentKeeper(settings);
+    this.keeper = new IntentReplica(settings);
   }
 
   /**
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/CatchUp.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentRecovery.java
@@ -12,15 +12,15 @@
 /**
  * Whether a keeper has caught up after a change of the registered routers or after its start.
  *
- * <p>Each granted claim is at {@link IntentDesk#COPIES} keepers. So a keeper that heard of all but
- * one of the routers that could grant before knows of each claim; and since those no longer grant
- * under the earlier routers, no claim can be granted there any more. A router that answers, but has
- * not caught up itself, is one that was heard of only if nobody met an earlier run of it: it has
- * granted nothing yet.
+ * <p>Each granted claim is at {@link IntentCoordinator#COPIES} keepers. So a keeper that heard of
+ * all but one of the routers that could grant before knows of each claim; and since those no longer
+ * grant under the earlier routers, no claim can be granted there any more. A router that answers,
+ * but has not caught up itself, is one that was heard of only if nobody met an earlier run of it:
+ * it has granted nothing yet.
  *
  * @since 0.1
  */
-final class CatchUp {
+final class IntentRecovery {
 
   private TableVersion completeVersion = TableVersion.NONE;
   private List<RouterId> completeRouters = List.of();
@@ -111,7 +111,7 @@
     if (newestRouters.isEmpty()) {
       return silent.isEmpty();
     }
-    int copies = Math.min(IntentDesk.COPIES, newestRouters.size());
+    int copies = Math.min(IntentCoordinator.COPIES, newestRouters.size());
     return newestRouters.stream().filter(this::isMissing).count() < copies;
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentKeeper.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentReplica.java
@@ -23,7 +23,7 @@
  *
  * @since 0.1
  */
-public final class IntentKeeper {
+public final class IntentReplica {
 
   private final IntentSettings settings;
   private final Map<OperationId, Entry> entries = new HashMap<>();
@@ -50,7 +50,7 @@
    *
    * @param settings limits and times; not null
    */
-  public IntentKeeper(IntentSettings settings) {
+  public IntentReplica(IntentSettings settings) {
     this.settings = settings;
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentSink.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentSink.java
@@ -7,8 +7,8 @@
 import io.cuminvalve.core.verdict.Verdict;
 
 /**
- * Receives the effects of an {@link IntentDesk}. Calls may come before the call that caused them
- * returns.
+ * Receives the effects of an {@link IntentCoordinator}. Calls may come before the call that caused
+ * them returns.
  *
  * @since 0.1
  */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementInput.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementInput.java
@@ -9,7 +9,7 @@
 /**
  * Everything that a plan depends on.
  *
- * @param table the current assignment; every owner NOBODY before the first; not null
+ * @param table the current assignment; every owner NO_TARGET before the first; not null
  * @param targets all known targets; one that the table names and this list does not is treated as
  *     DRAINING; not null, copied
  * @param shardLoads measured load per shard, in any unit common to all; empty if nothing was
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementMove.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementMove.java
@@ -6,8 +6,8 @@
  * @param shard the shard
  * @param role whether its owner or its standby changes; not null
  * @param from index of the earlier target in {@link PlacementPlan#targets()}, or {@link
- *     io.cuminvalve.core.table.ShardTable#NOBODY}
- * @param to index of the new target, or NOBODY
+ *     io.cuminvalve.core.table.ShardTable#NO_TARGET}
+ * @param to index of the new target, or NO_TARGET
  * @param reason why; not null
  * @since 0.1
  */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/Assignment.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/Assignment.java
@@ -71,7 +71,7 @@
   private double[] sumByTarget(int[] assigned) {
     double[] sums = new double[index.size()];
     for (int shard = 0; shard < assigned.length; shard++) {
-      if (assigned[shard] != ShardTable.NOBODY) {
+      if (assigned[shard] != ShardTable.NO_TARGET) {
         sums[assigned[shard]] += shardLoads[shard];
       }
     }
@@ -100,7 +100,7 @@
    * Returns the planned owner of a shard.
    *
    * @param shard the shard
-   * @return a target or NOBODY
+   * @return a target or NO_TARGET
    */
   public int owner(int shard) {
     return owners[shard];
@@ -110,7 +110,7 @@
    * Returns the planned standby of a shard.
    *
    * @param shard the shard
-   * @return a target or NOBODY
+   * @return a target or NO_TARGET
    */
   public int standby(int shard) {
     return standbys[shard];
@@ -189,7 +189,7 @@
     owners[shard] = target;
     ownerReasons[shard] = reason;
     if (standbys[shard] == target) {
-      setStandby(shard, ShardTable.NOBODY, MoveReason.STANDBY_MISSING);
+      setStandby(shard, ShardTable.NO_TARGET, MoveReason.STANDBY_MISSING);
     }
   }
 
@@ -197,7 +197,7 @@
    * Gives a shard another standby.
    *
    * @param shard the shard
-   * @param target the new standby or NOBODY
+   * @param target the new standby or NO_TARGET
    * @param reason why; not null
    */
   public void setStandby(int shard, int target, MoveReason reason) {
@@ -208,7 +208,7 @@
   }
 
   private static void add(double[] loads, int target, double load) {
-    if (target != ShardTable.NOBODY) {
+    if (target != ShardTable.NO_TARGET) {
       loads[target] += load;
     }
   }
@@ -225,11 +225,11 @@
   /**
    * Tells whether a target exists and may receive shards.
    *
-   * @param target a target or NOBODY
+   * @param target a target or NO_TARGET
    * @return true if it is usable
    */
   public boolean isUsable(int target) {
-    return target != ShardTable.NOBODY && index.state(target).isUsable();
+    return target != ShardTable.NO_TARGET && index.state(target).isUsable();
   }
 
   /**
@@ -239,7 +239,7 @@
    * @return true if it has an owner and that owner is lost
    */
   public boolean isOwnerLost(int shard) {
-    return owners[shard] != ShardTable.NOBODY && index.state(owners[shard]) == TargetState.LOST;
+    return owners[shard] != ShardTable.NO_TARGET && index.state(owners[shard]) == TargetState.LOST;
   }
 
   /**
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/OwnerBalancer.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/OwnerBalancer.java
@@ -154,7 +154,7 @@
     for (int position = wanted; position >= last; position--) {
       int standby = assignment.standby(candidates.get(position));
       boolean isApart =
-          standby == ShardTable.NOBODY || !assignment.index().sameDataCentre(standby, target);
+          standby == ShardTable.NO_TARGET || !assignment.index().sameDataCentre(standby, target);
       if (isApart && isSimilar(candidates, position, wanted)) {
         return position;
       }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/OwnerRepair.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/OwnerRepair.java
@@ -48,7 +48,7 @@
 
   private void assignFirst() {
     IntStream.range(0, assignment.shardCount())
-        .filter(shard -> assignment.owner(shard) == ShardTable.NOBODY)
+        .filter(shard -> assignment.owner(shard) == ShardTable.NO_TARGET)
         .boxed()
         .sorted(Comparator.comparingDouble((Integer shard) -> -assignment.load(shard)))
         .forEach(this::assign);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/ShardsByTarget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/ShardsByTarget.java
@@ -19,7 +19,7 @@
     starts = new int[targetCount + 1];
     for (int shard = 0; shard < shardCount; shard++) {
       int target = targetOf.applyAsInt(shard);
-      if (target != ShardTable.NOBODY) {
+      if (target != ShardTable.NO_TARGET) {
         starts[target + 1]++;
       }
     }
@@ -30,7 +30,7 @@
     int[] next = Arrays.copyOf(starts, targetCount);
     for (int shard = 0; shard < shardCount; shard++) {
       int target = targetOf.applyAsInt(shard);
-      if (target != ShardTable.NOBODY) {
+      if (target != ShardTable.NO_TARGET) {
         shards[next[target]++] = shard;
       }
     }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/StandbyPlanner.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/StandbyPlanner.java
@@ -65,14 +65,14 @@
       }
     }
     for (int shard : owned) {
-      if (assignment.standby(shard) != ShardTable.NOBODY) {
+      if (assignment.standby(shard) != ShardTable.NO_TARGET) {
         takeover[assignment.standby(shard)] = 0;
       }
     }
   }
 
   private void addTakeover(int standby, double load) {
-    if (standby != ShardTable.NOBODY) {
+    if (standby != ShardTable.NO_TARGET) {
       takeover[standby] += load;
     }
   }
@@ -110,7 +110,7 @@
 
   /** A hot shard concentrates load on any standby: without this it would never keep one. */
   private boolean isWorthwhile(int earlier, int chosen, double load, MoveReason reason) {
-    if (chosen == ShardTable.NOBODY) {
+    if (chosen == ShardTable.NO_TARGET) {
       return false;
     }
     return reason != MoveReason.STANDBY_CONCENTRATED
@@ -119,22 +119,24 @@
 
   /** Rounding must not leave a rest behind on a target that nobody resets. */
   private void clearIfUnused(int standby) {
-    if (standby != ShardTable.NOBODY && takeover[standby] < 1e-9) {
+    if (standby != ShardTable.NO_TARGET && takeover[standby] < 1e-9) {
       takeover[standby] = 0;
     }
   }
 
   private int choose(int owner, int shard) {
     boolean apart = index.hasUsableElsewhere(owner);
-    int chosen = ShardTable.NOBODY;
+    int chosen = ShardTable.NO_TARGET;
     if (usable.length > MAX_CANDIDATES) {
       chosen = chooseAmong(owner, shard, apart, MAX_CANDIDATES);
     }
-    return chosen != ShardTable.NOBODY ? chosen : chooseAmong(owner, shard, apart, usable.length);
+    return chosen != ShardTable.NO_TARGET
+        ? chosen
+        : chooseAmong(owner, shard, apart, usable.length);
   }
 
   private int chooseAmong(int owner, int shard, boolean apart, int candidates) {
-    int best = ShardTable.NOBODY;
+    int best = ShardTable.NO_TARGET;
     double bestScore = Double.MAX_VALUE;
     for (int i = 0; i < candidates; i++) {
       int candidate = candidates == usable.length ? usable[i] : sample(shard, i);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/TargetIndex.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/TargetIndex.java
@@ -86,7 +86,7 @@
       ShardTable table, List<PlacementTarget> targets, Map<TargetId, Integer> numbers) {
     boolean[] referenced = new boolean[table.targets().size()];
     for (PlacementTarget target : targets) {
-      mark(referenced, numbers.getOrDefault(target.id(), ShardTable.NOBODY));
+      mark(referenced, numbers.getOrDefault(target.id(), ShardTable.NO_TARGET));
     }
     for (int shard = 0; shard < table.shardCount(); shard++) {
       mark(referenced, table.owner(shard));
@@ -104,7 +104,7 @@
   }
 
   private static void mark(boolean[] referenced, int number) {
-    if (number != ShardTable.NOBODY) {
+    if (number != ShardTable.NO_TARGET) {
       referenced[number] = true;
     }
   }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/TargetOrder.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/TargetOrder.java
@@ -65,7 +65,7 @@
 
   void setOwner(int shard, int target, MoveReason reason) {
     int earlier = assignment.owner(shard);
-    boolean earlierListed = earlier != ShardTable.NOBODY && targets.remove(earlier);
+    boolean earlierListed = earlier != ShardTable.NO_TARGET && targets.remove(earlier);
     boolean targetListed = targets.remove(target);
     assignment.setOwner(shard, target, reason);
     if (earlierListed) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/replay/ReplayRouter.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/replay/ReplayRouter.java
@@ -7,7 +7,7 @@
 import io.cuminvalve.core.id.Incarnation;
 import io.cuminvalve.core.id.RequestId;
 import io.cuminvalve.core.id.RouterId;
-import io.cuminvalve.core.intent.IntentDesk;
+import io.cuminvalve.core.intent.IntentCoordinator;
 import io.cuminvalve.core.intent.IntentSettings;
 import io.cuminvalve.core.intent.IntentSink;
 import io.cuminvalve.core.protocol.PeerMessage;
@@ -32,7 +32,7 @@
   private final BiConsumer<RouterId, PeerMessage> network;
   private final RetryBudget retries;
   private final AdmissionDesk admission;
-  private final IntentDesk intents;
+  private final IntentCoordinator intents;
   private final Map<RequestId, ReplayRequest> requests = new LinkedHashMap<>();
   private final Map<Long, Ticket> tickets = new HashMap<>();
   private long lastPermit;
@@ -54,14 +54,14 @@
     this.network = network;
     this.retries = retries;
     this.admission = new AdmissionDesk(CELL, id, run, AdmissionSettings.DEFAULT, this);
-    this.intents = new IntentDesk(CELL, id, run, IntentSettings.DEFAULT, this);
+    this.intents = new IntentCoordinator(CELL, id, run, IntentSettings.DEFAULT, this);
   }
 
   AdmissionDesk admission() {
     return admission;
   }
 
-  IntentDesk intents() {
+  IntentCoordinator intents() {
     return intents;
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/table/ShardTable.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/table/ShardTable.java
@@ -13,15 +13,15 @@
  *
  * <p>Shards are numbered from 0. Targets are referred to by their index in {@link #targets()}, so
  * that a look-up on the request path reads plain arrays. A shard whose {@link #previousOwner(int)}
- * is not {@link #NOBODY} is moving: its new owner serves nothing until the holder of the term has
- * proved that the previous owner stopped and has announced the new token as open.
+ * is not {@link #NO_TARGET} is moving: its new owner serves nothing until the holder of the term
+ * has proved that the previous owner stopped and has announced the new token as open.
  *
  * @since 0.1
  */
 public final class ShardTable {
 
   /** The index that stands for no target. */
-  public static final int NOBODY = -1;
+  public static final int NO_TARGET = -1;
 
   private final CellId cell;
   private final TableVersion version;
@@ -46,7 +46,7 @@
    * @param targets the targets that the indexes refer to; not null
    * @param owners owner per shard; not null
    * @param standbys standby per shard; not null, same length
-   * @param previousOwners previous owner per moving shard, else NOBODY; not null, same length
+   * @param previousOwners previous owner per moving shard, else NO_TARGET; not null, same length
    * @param tokens fencing token per shard; not null, same length
    */
   public ShardTable(
@@ -87,7 +87,7 @@
    */
   public static ShardTable unassigned(CellId cell, int shardCount, long configRevision) {
     int[] nobody = new int[shardCount];
-    Arrays.fill(nobody, NOBODY);
+    Arrays.fill(nobody, NO_TARGET);
     return new ShardTable(
         cell,
         TableVersion.NONE,
@@ -177,7 +177,7 @@
    * Returns the owner of a shard.
    *
    * @param shard from 0 to {@link #shardCount()} - 1
-   * @return an index into {@link #targets()} or {@link #NOBODY}
+   * @return an index into {@link #targets()} or {@link #NO_TARGET}
    */
   public int owner(int shard) {
     return owners[shard];
@@ -187,7 +187,7 @@
    * Returns the standby of a shard.
    *
    * @param shard from 0 to {@link #shardCount()} - 1
-   * @return an index into {@link #targets()} or {@link #NOBODY}
+   * @return an index into {@link #targets()} or {@link #NO_TARGET}
    */
   public int standby(int shard) {
     return standbys[shard];
@@ -197,7 +197,7 @@
    * Returns the owner that a moving shard comes from.
    *
    * @param shard from 0 to {@link #shardCount()} - 1
-   * @return an index into {@link #targets()} or {@link #NOBODY} if the shard is settled
+   * @return an index into {@link #targets()} or {@link #NO_TARGET} if the shard is settled
    */
   public int previousOwner(int shard) {
     return previousOwners[shard];
@@ -220,7 +220,7 @@
    * @return true until the holder of the term records the move as finished
    */
   public boolean isMoving(int shard) {
-    return previousOwners[shard] != NOBODY;
+    return previousOwners[shard] != NO_TARGET;
   }
 
   /**
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/authority/FakeRouter.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/authority/FakeRouter.java
@@ -152,7 +152,7 @@
     world.invariants.onInstalled(address, installed, table.version(), world.writtenLast());
     installed = table.version();
     for (int shard = 0; shard < table.shardCount(); shard++) {
-      if (view.isOpen(shard) && table.owner(shard) != ShardTable.NOBODY) {
+      if (view.isOpen(shard) && table.owner(shard) != ShardTable.NO_TARGET) {
         TargetId owner = table.targets().get(table.owner(shard));
         world.invariants.onOpen(owner, shard, table.token(shard));
       }
@@ -168,7 +168,7 @@
     nextShard = (nextShard + 1) % World.SHARDS;
     int shard = nextShard;
     ShardTable table = view.table();
-    if (table.owner(shard) == ShardTable.NOBODY) {
+    if (table.owner(shard) == ShardTable.NO_TARGET) {
       return;
     }
     TargetId owner = table.targets().get(table.owner(shard));
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/authority/TableBuilderTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/authority/TableBuilderTest.java
@@ -43,7 +43,7 @@
 
   @Test
   void acceptedMoveRecordsThePreviousOwnerAndTheNextToken() {
-    ShardTable settled = table(1, 2, ShardTable.NOBODY);
+    ShardTable settled = table(1, 2, ShardTable.NO_TARGET);
     moves.onIssued(settled);
     TableBuilder builder = new TableBuilder(settled).apply(plan(2, 3), moves);
     assertThat(builder.isOwnerChanged()).isTrue();
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/HotSpotTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/HotSpotTest.java
@@ -33,7 +33,7 @@
 
   /** Decides the moves of one look. */
   private interface Policy {
-    List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, TargetSpeeds speeds);
+    List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, RelativeLatencies speeds);
   }
 
   @Test
@@ -49,7 +49,7 @@
   /** What the load is like for a policy whose moves do not grow with the service. */
   @Test
   void tenMovesAndHalvesCarryFarLess() {
-    Policy former = new TenMovesOfHalves();
+    Policy former = new FixedMoveLimitPolicy();
     assertThat(carried(60, 0.44, former)).isLessThan(carried(60, 0.44, planner()) - 0.3);
     assertThat(carried(200, 0.33, former)).isLessThan(carried(200, 0.33, planner()) - 0.015);
   }
@@ -60,13 +60,14 @@
   }
 
   /** One hot key at a time, and other moves only when there is none. */
-  private static final class TenMovesOfHalves implements Policy {
+  private static final class FixedMoveLimitPolicy implements Policy {
 
     private final HotKeyPlacement hotKeys = new HotKeyPlacement();
     private final RangeBalancer balancer = new RangeBalancer(HALVING);
 
     @Override
-    public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, TargetSpeeds speeds) {
+    public List<RangeMove> plan(
+        List<TargetLoad> targets, KeyLoads loads, RelativeLatencies speeds) {
       List<RangeMove> moves = hotKeys.plan(targets, loads, speeds, 1);
       return moves.isEmpty() ? balancer.plan(targets, loads, 10) : moves;
     }
@@ -82,7 +83,7 @@
     for (int key = first; key < first + hotKeys; key++) {
       loads.add(key, BUSY_SLOTS * share / hotKeys * MEMORY_MS);
     }
-    TargetSpeeds speeds = new TargetSpeeds();
+    RelativeLatencies speeds = new RelativeLatencies();
     Map<TargetId, TargetLoad> targets = evenTargets(speeds);
     double carried = 0;
     for (int look = 0; look < LOOKS; look++) {
@@ -97,7 +98,7 @@
   }
 
   /** Every third target is half as fast again, every third half as fast. */
-  private static Map<TargetId, TargetLoad> evenTargets(TargetSpeeds speeds) {
+  private static Map<TargetId, TargetLoad> evenTargets(RelativeLatencies speeds) {
     Map<TargetId, TargetLoad> targets = new LinkedHashMap<>();
     for (int i = 0; i < TARGETS; i++) {
       TargetId id = new TargetId("t" + i);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/RangeBalancerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/RangeBalancerTest.java
@@ -97,7 +97,7 @@
   @Test
   void theHotKeyGoesToTheMuchFasterTarget() {
     busy(77, 3.0);
-    TargetSpeeds speeds = new TargetSpeeds();
+    RelativeLatencies speeds = new RelativeLatencies();
     speeds.onAnswers(B, 0.4, 1_000);
     List<RangeMove> moves =
         new HotKeyPlacement().plan(List.of(first, second, third), loads, speeds, 10);
@@ -107,7 +107,7 @@
   @Test
   void theHotKeyAtTheFastestTargetStays() {
     busy(77, 3.0);
-    TargetSpeeds speeds = new TargetSpeeds();
+    RelativeLatencies speeds = new RelativeLatencies();
     speeds.onAnswers(A, 0.4, 1_000);
     assertThat(new HotKeyPlacement().plan(List.of(first, second, third), loads, speeds, 10))
         .isEmpty();
@@ -117,7 +117,7 @@
   void coldFragmentsGoBackToTheirNeighbours() {
     TargetLoad left = target(A, new KeyRange(0, 499), new KeyRange(600, 30_000));
     TargetLoad right = target(B, new KeyRange(500, 599), new KeyRange(30_001, 65_535));
-    List<RangeMove> moves = new RangeTidier().plan(List.of(left, right), loads, 10);
+    List<RangeMove> moves = new RangeDefragmenter().plan(List.of(left, right), loads, 10);
     assertThat(moves).containsExactly(new RangeMove(new KeyRange(0, 499), A, B));
   }
 
@@ -127,7 +127,7 @@
     TargetLoad left = target(A, new KeyRange(0, 5_000), new KeyRange(5_100, 30_000));
     TargetLoad right = target(B, new KeyRange(5_001, 5_099), new KeyRange(30_001, 65_535));
     busy(5_050, 1.0);
-    assertThat(new RangeTidier().plan(List.of(left, right), loads, 10)).isEmpty();
+    assertThat(new RangeDefragmenter().plan(List.of(left, right), loads, 10)).isEmpty();
   }
 
   @Test
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/RangeTidierTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/RangeDefragmenterTest.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RangeTidierTest {
+class RangeDefragmenterTest {
 
   private static final TargetId A = new TargetId("a");
   private static final TargetId B = new TargetId("b");
 
   private final KeyLoads loads = new KeyLoads(1_000, 0);
-  private final RangeTidier tidier = new RangeTidier();
+  private final RangeDefragmenter tidier = new RangeDefragmenter();
 
   @Test
   void coldFragmentsGoBackToTheirNeighbour() {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/intent/IntentInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/intent/IntentInterleavingsTest.java
@@ -66,14 +66,14 @@
   private final class Node implements IntentSink {
 
     private final RouterId id;
-    private final IntentDesk desk;
+    private final IntentCoordinator desk;
     private TableVersion installed = TableVersion.NONE;
     private boolean lost;
 
     Node(RouterId id) {
       this.id = id;
       Incarnation run = new Incarnation(counter++);
-      this.desk = new IntentDesk(CELL, id, run, IntentSettings.DEFAULT, this);
+      this.desk = new IntentCoordinator(CELL, id, run, IntentSettings.DEFAULT, this);
     }
 
     @Override
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/intent/IntentKeeperTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/intent/IntentReplicaTest.java
@@ -9,8 +9,8 @@
 import io.cuminvalve.core.verdict.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link IntentKeeper}. */
-class IntentKeeperTest {
+/** Tests {@link IntentReplica}. */
+class IntentReplicaTest {
 
   private static final IdempotencyKey KEY = new IdempotencyKey("pay-1");
   private static final OperationId OPERATION = new OperationId(new TenantId("shop"), KEY);
@@ -18,7 +18,8 @@
   private static final RequestId SECOND = new RequestId("second");
   private static final RouterId ROUTER = new RouterId("r1");
 
-  private final IntentKeeper keeper = new IntentKeeper(new IntentSettings(10_000, 100, 300, 1, 2));
+  private final IntentReplica keeper =
+      new IntentReplica(new IntentSettings(10_000, 100, 300, 1, 2));
 
   @Test
   void resendWhileInFlight() {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/BalancingPlannerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/BalancingPlannerTest.java
@@ -27,7 +27,7 @@
     for (int shard = 0; shard < SHARDS; shard++) {
       int owner = cell.table.owner(shard);
       int standby = cell.table.standby(shard);
-      assertThat(standby).isNotEqualTo(ShardTable.NOBODY);
+      assertThat(standby).isNotEqualTo(ShardTable.NO_TARGET);
       assertThat(cell.dataCentre(standby)).isNotEqualTo(cell.dataCentre(owner));
     }
   }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/PlacementFixture.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/PlacementFixture.java
@@ -27,7 +27,7 @@
   PlacementFixture(int shardCount, int targetCount, PlacementObjective objective) {
     this.objective = objective;
     int[] nobody = new int[shardCount];
-    Arrays.fill(nobody, ShardTable.NOBODY);
+    Arrays.fill(nobody, ShardTable.NO_TARGET);
     table = table(List.of(), nobody, nobody, nobody);
     for (int i = 0; i < targetCount; i++) {
       set(i, TargetState.ACTIVE);
--- a/cuminvalve-demo/src/main/java/io/cuminvalve/demo/ChurnMeter.java
+++ b/cuminvalve-demo/src/main/java/io/cuminvalve/demo/ChurnMeter.java
@@ -51,6 +51,8 @@
 
   static Optional<TargetId> owner(ShardTable table, int shard) {
     int index = table.owner(shard);
-    return index == ShardTable.NOBODY ? Optional.empty() : Optional.of(table.targets().get(index));
+    return index == ShardTable.NO_TARGET
+        ? Optional.empty()
+        : Optional.of(table.targets().get(index));
   }
 }
--- a/cuminvalve-demo/src/main/java/io/cuminvalve/demo/experiment/ExperimentRun.java
+++ b/cuminvalve-demo/src/main/java/io/cuminvalve/demo/experiment/ExperimentRun.java
@@ -257,7 +257,7 @@
 
   private static boolean isSettled(ShardTable table) {
     return IntStream.range(0, table.shardCount())
-        .allMatch(shard -> table.owner(shard) != ShardTable.NOBODY && !table.isMoving(shard));
+        .allMatch(shard -> table.owner(shard) != ShardTable.NO_TARGET && !table.isMoving(shard));
   }
 
   private void inject(Scenario scenario, TargetId victim, RecoveryMeter meter) {
--- a/cuminvalve-demo/src/test/java/io/cuminvalve/demo/ChurnMeterTest.java
+++ b/cuminvalve-demo/src/test/java/io/cuminvalve/demo/ChurnMeterTest.java
@@ -20,7 +20,7 @@
   void countsChangesOfOwnersButNotTheFirstAssignment() {
     ChurnMeter meter = new ChurnMeter(cell -> Optional.ofNullable(current));
     meter.sample(CELL);
-    show(ShardTable.NOBODY, ShardTable.NOBODY, ShardTable.NOBODY);
+    show(ShardTable.NO_TARGET, ShardTable.NO_TARGET, ShardTable.NO_TARGET);
     meter.sample(CELL);
     show(0, 1, 1);
     meter.sample(CELL);
@@ -33,7 +33,7 @@
   }
 
   private void show(int... owners) {
-    int[] nobody = {ShardTable.NOBODY, ShardTable.NOBODY, ShardTable.NOBODY};
+    int[] nobody = {ShardTable.NO_TARGET, ShardTable.NO_TARGET, ShardTable.NO_TARGET};
     current =
         new ShardTable(
             CELL,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServiceDuties.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServiceDuties.java
@@ -6,10 +6,10 @@
 import io.cuminvalve.core.balance.MovePlanner;
 import io.cuminvalve.core.balance.OverloadPolicy;
 import io.cuminvalve.core.balance.RangeBalancer;
+import io.cuminvalve.core.balance.RangeDefragmenter;
 import io.cuminvalve.core.balance.RangeMove;
-import io.cuminvalve.core.balance.RangeTidier;
+import io.cuminvalve.core.balance.RelativeLatencies;
 import io.cuminvalve.core.balance.TargetLoad;
-import io.cuminvalve.core.balance.TargetSpeeds;
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.fleet.TargetRegister;
 import io.cuminvalve.core.id.ServiceId;
@@ -72,11 +72,11 @@
   private final LeaseDesk desk;
   private final DecisionLog log;
   private final KeyLoads loads;
-  private final TargetSpeeds speeds = new TargetSpeeds();
+  private final RelativeLatencies speeds = new RelativeLatencies();
   private final Predicate<TargetId> resting;
   private final LimitCapacity capacity;
   private final Set<TargetId> busy = new HashSet<>();
-  private final RangeTidier tidier = new RangeTidier();
+  private final RangeDefragmenter tidier = new RangeDefragmenter();
   private final OverloadPolicy overload = new OverloadPolicy();
   private final MovePlanner planner =
       new MovePlanner(new HotKeyPlacement(), new RangeBalancer(BalancerSettings.DEFAULT));
@@ -259,7 +259,7 @@
     List<RangeMove> moves = planner.plan(targets, loads, speeds);
     if (moves.isEmpty() && nowMs - tidiedMs >= TIDY_MS) {
       tidiedMs = nowMs;
-      moves = tidier.plan(targets, loads, MovePlanner.mostMoves(targets.size()));
+      moves = tidier.plan(targets, loads, MovePlanner.maxMoves(targets.size()));
     }
     for (RangeMove move : moves) {
       desk.move(move.keys(), move.to(), nowMs);
--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/control/CellDesks.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/control/CellDesks.java
@@ -9,7 +9,7 @@
 import io.cuminvalve.core.id.RequestId;
 import io.cuminvalve.core.id.RouterId;
 import io.cuminvalve.core.id.TargetId;
-import io.cuminvalve.core.intent.IntentDesk;
+import io.cuminvalve.core.intent.IntentCoordinator;
 import io.cuminvalve.core.intent.IntentSettings;
 import io.cuminvalve.core.intent.IntentSink;
 import io.cuminvalve.core.intent.OperationId;
@@ -51,7 +51,7 @@
 public final class CellDesks implements IntentClaims {
 
   private final AdmissionDesk admission;
-  private final IntentDesk intents;
+  private final IntentCoordinator intents;
   private final CircuitBoard circuits = new CircuitBoard(RetrySettings.DEFAULT);
   private final PeerNetwork network;
   private final Executor executor;
@@ -91,7 +91,8 @@
     this.clock = clock;
     this.admission =
         new AdmissionDesk(cell, self, incarnation, AdmissionSettings.DEFAULT, new Admissions());
-    this.intents = new IntentDesk(cell, self, incarnation, IntentSettings.DEFAULT, new Intents());
+    this.intents =
+        new IntentCoordinator(cell, self, incarnation, IntentSettings.DEFAULT, new Intents());
   }
 
   /**
--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/control/CellRoutes.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/control/CellRoutes.java
@@ -104,6 +104,6 @@
     TargetRecord target = slot.target();
     ShardTable table = view.table();
     int owner = table.owner(slot.shard());
-    return owner != ShardTable.NOBODY && table.targets().get(owner).equals(target.id());
+    return owner != ShardTable.NO_TARGET && table.targets().get(owner).equals(target.id());
   }
 }
--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/control/OwnerSlots.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/control/OwnerSlots.java
@@ -94,7 +94,7 @@
     ShardTable table = view.table();
     int shard = KeyHasher.shardOf(waiter.request.key(), table.shardCount());
     int owner = table.owner(shard);
-    if (owner == ShardTable.NOBODY || view.dispatchableUntilMs(shard) <= clock.nowMs()) {
+    if (owner == ShardTable.NO_TARGET || view.dispatchableUntilMs(shard) <= clock.nowMs()) {
       return false;
     }
     TargetRecord target = directory.find(table.targets().get(owner));
--- a/cuminvalve-router/src/test/java/io/cuminvalve/router/control/CellDesksTest.java
+++ b/cuminvalve-router/src/test/java/io/cuminvalve/router/control/CellDesksTest.java
@@ -173,7 +173,7 @@
             List.of(TARGET),
             new int[1],
             new int[1],
-            new int[] {ShardTable.NOBODY},
+            new int[] {ShardTable.NO_TARGET},
             new long[1]);
     routers.values().forEach(desks -> desks.onTargets(instances));
     routers.values().forEach(desks -> desks.onTable(table));
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ShardTableCodec.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ShardTableCodec.java
@@ -69,7 +69,7 @@
 
   private static int[] previousOwners(Head read) {
     int[] previous = new int[read.owners().length];
-    Arrays.fill(previous, ShardTable.NOBODY);
+    Arrays.fill(previous, ShardTable.NO_TARGET);
     if (read.moving().length != read.movingFrom().length) {
       throw new CodedException(ErrorCode.PROTOCOL, "moving shards without previous owner");
     }
@@ -85,7 +85,7 @@
 
   private static void checkIndexes(int[] indexes, int targets) {
     for (int index : indexes) {
-      if (index < ShardTable.NOBODY || index >= targets) {
+      if (index < ShardTable.NO_TARGET || index >= targets) {
         throw new CodedException(ErrorCode.PROTOCOL, "no such target: " + index);
       }
     }
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/SampleMessages.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/SampleMessages.java
@@ -66,7 +66,7 @@
                 new RouterId("r1"), new DataCentreId("dc-1"), "127.0.0.1:7001", true));
     int[] previous =
         IntStream.range(0, shards)
-            .map(i -> i % 10 == 0 ? random.nextInt(targets) : ShardTable.NOBODY)
+            .map(i -> i % 10 == 0 ? random.nextInt(targets) : ShardTable.NO_TARGET)
             .toArray();
     return new ShardTable(
         CELL,
