--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/BalancerSettings.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/BalancerSettings.java
@@ -3,17 +3,19 @@
 import io.cuminvalve.core.lease.KeyRange;
 
 /**
- * When and how much the balancer moves.
+ * Thresholds and limits of the balancer.
  *
- * @param triggerRatio utilisation of the busiest target over the mean that starts a move
- * @param triggerShare busy share of its slots below which a target is left alone: requests hardly
- *     wait there
- * @param triggerGap busy share of its slots by which the busiest target has to exceed the least
- *     busy one
- * @param minShare the smallest part of the wanted load that makes a move worthwhile
- * @param maxShare the largest part of the wanted load that one move takes
- * @param fillShare busy share of its slots up to which a move fills a target, unless all are busier
- * @param maxKeys the most keys of one move
+ * @param triggerRatio ratio of the utilisation of the busiest target to the mean above which keys
+ *     are moved
+ * @param triggerShare share of busy slots up to which a target keeps its keys, because requests
+ *     hardly queue there
+ * @param triggerGap minimum difference between the shares of busy slots of the busiest and the
+ *     least busy target
+ * @param minShare the smallest fraction of the load to move that justifies a move
+ * @param maxShare the largest fraction of the load to move that one move may take
+ * @param fillShare share of busy slots up to which a move fills a target, or the mean share if that
+ *     is higher
+ * @param maxKeys the maximum number of keys in one move
  * @since 0.2
  */
 public record BalancerSettings(
@@ -26,8 +28,8 @@
     int maxKeys) {
 
   /**
-   * Values from experiments with hot keys: moving a twentieth of all keys at once costs less than a
-   * tenth of a second of a target that is overloaded.
+   * Default values. Moving a twentieth of all keys at once costs less than leaving a target
+   * overloaded for 0.1 s.
    */
   public static final BalancerSettings DEFAULT =
       new BalancerSettings(1.3, 0.45, 0.2, 0.4, 1.1, 0.7, KeyRange.KEY_COUNT / 16);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/HotKeyPlacement.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/HotKeyPlacement.java
@@ -10,76 +10,82 @@
 import java.util.Set;
 
 /**
- * Brings each key that keeps much of a target busy to a fast target that has no other such key.
+ * Places each hot key on a fast target that owns no other hot key.
  *
- * <p>One key has one owner, so nothing but the speed of that owner bounds how often it is served.
+ * <p>A key has exactly one owner, so its throughput is limited by the speed of that owner.
  *
  * @since 0.2
  */
 public final class HotKeyPlacement {
 
-  /** Busy share of the slots from which one key counts as hot. */
+  /** Share of a target's capacity above which a single key counts as hot. */
   private static final double HOT_SHARE = 0.45;
 
-  /** How much faster another target has to be; below that a move gains less than it costs. */
-  private static final double WORTHWHILE = 1.2;
+  /** Minimum speed-up by a move; below it, a move costs more than it gains. */
+  private static final double MIN_SPEEDUP = 1.2;
 
   /**
-   * Finds moves of hot keys, the hottest first.
+   * Plans moves of hot keys, the hottest first.
    *
    * @param targets the targets that may own keys; not null
    * @param loads the load of each key; not null
-   * @param speeds the speed of each target; not null
-   * @param maxMoves at most so many
-   * @return empty if every hot key is where it should be; never null
+   * @param latencies the relative latency of each target; not null
+   * @param maxMoves the maximum number of moves
+   * @return the moves; empty if no hot key has a better place; never null
    */
   public List<RangeMove> plan(
-      List<TargetLoad> targets, KeyLoads loads, RelativeLatencies speeds, int maxMoves) {
+      List<TargetLoad> targets, KeyLoads loads, RelativeLatencies latencies, int maxMoves) {
     List<HotKey> hotKeys = new ArrayList<>();
-    List<TargetLoad> free = new ArrayList<>();
+    List<TargetLoad> candidates = new ArrayList<>();
     for (TargetLoad target : targets) {
-      List<HotKey> settled = hotKeysOf(target, target.ranges(), loads);
-      hotKeys.addAll(settled);
-      if (settled.isEmpty() && hotKeysOf(target, target.otherRanges(), loads).isEmpty()) {
-        free.add(target);
+      List<HotKey> movable = hotKeysOf(target, target.ranges(), loads);
+      hotKeys.addAll(movable);
+      if (movable.isEmpty() && hotKeysOf(target, target.otherRanges(), loads).isEmpty()) {
+        candidates.add(target);
       }
     }
     hotKeys.sort(Comparator.comparingDouble(HotKey::load).reversed());
     List<RangeMove> moves = new ArrayList<>();
-    Set<TargetId> keeping = new HashSet<>();
+    Set<TargetId> retainingOwners = new HashSet<>();
     for (HotKey hot : hotKeys) {
-      boolean shares = keeping.contains(hot.owner().id());
-      Optional<TargetLoad> better = fastest(free, hot.owner(), shares, speeds);
-      if (better.isPresent() && moves.size() < maxMoves) {
-        free.remove(better.get());
+      boolean sharesOwner = retainingOwners.contains(hot.owner().id());
+      Optional<TargetLoad> destination = fastest(candidates, hot.owner(), sharesOwner, latencies);
+      if (destination.isPresent() && moves.size() < maxMoves) {
+        candidates.remove(destination.get());
         KeyRange keys = new KeyRange(hot.key(), hot.key());
-        moves.add(new RangeMove(keys, hot.owner().id(), better.get().id()));
+        moves.add(new RangeMove(keys, hot.owner().id(), destination.get().id()));
       } else {
-        keeping.add(hot.owner().id());
+        retainingOwners.add(hot.owner().id());
       }
     }
     return moves;
   }
 
-  /** A target with a hotter key has no room for another: then any free one is better. */
+  /**
+   * Finds the fastest candidate that is worth a move. If the owner keeps a hotter key, any
+   * candidate is better.
+   */
   private static Optional<TargetLoad> fastest(
-      List<TargetLoad> free, TargetLoad owner, boolean shares, RelativeLatencies speeds) {
-    double worthwhile = shares ? Double.MAX_VALUE : costOf(owner, speeds) / WORTHWHILE;
-    return free.stream()
-        .filter(target -> costOf(target, speeds) < worthwhile)
-        .min(Comparator.comparingDouble(target -> costOf(target, speeds)));
+      List<TargetLoad> candidates,
+      TargetLoad owner,
+      boolean sharesOwner,
+      RelativeLatencies latencies) {
+    double maxCost = sharesOwner ? Double.MAX_VALUE : relativeCost(owner, latencies) / MIN_SPEEDUP;
+    return candidates.stream()
+        .filter(target -> relativeCost(target, latencies) < maxCost)
+        .min(Comparator.comparingDouble(target -> relativeCost(target, latencies)));
   }
 
-  private static double costOf(TargetLoad target, RelativeLatencies speeds) {
-    return speeds.of(target.id()) / target.capacity();
+  private static double relativeCost(TargetLoad target, RelativeLatencies latencies) {
+    return latencies.of(target.id()) / target.capacity();
   }
 
   private static List<HotKey> hotKeysOf(TargetLoad owner, List<KeyRange> ranges, KeyLoads loads) {
     List<HotKey> found = new ArrayList<>();
-    double least = owner.capacity() * HOT_SHARE;
+    double threshold = owner.capacity() * HOT_SHARE;
     for (KeyRange range : ranges) {
       for (int key = range.first(); key <= range.last(); key++) {
-        if (loads.of(key) > least) {
+        if (loads.of(key) > threshold) {
           found.add(new HotKey(key, loads.of(key), owner));
         }
       }
@@ -87,6 +93,6 @@
     return found;
   }
 
-  /** A key that keeps most of its owner busy. */
+  /** A hot key with its load and its owner. */
   private record HotKey(int key, double load, TargetLoad owner) {}
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/KeyLoads.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/KeyLoads.java
@@ -3,31 +3,32 @@
 import io.cuminvalve.core.lease.KeyRange;
 
 /**
- * How much work each key of a service causes, as a decayed mean.
+ * The load of each key of a service, as an exponentially decaying mean.
  *
- * <p>The unit is busy slots: one key that keeps one slot busy all the time has a load of 1. Work is
- * measured as the time from sending a request to its answer, so it counts the speed of the target
- * and its queue. Each key has a small load in advance, so that keys are spread evenly before
- * anything is known. Not safe for use by several threads.
+ * <p>The unit is busy slots: a key that occupies one slot all the time has a load of 1. Work is
+ * measured as the time from sending a request to its response, so it includes the speed and the
+ * queue of the target. Each key starts with a small load, so that keys are spread evenly before
+ * anything is measured. Not thread-safe.
  *
  * @since 0.2
  */
 public final class KeyLoads {
 
-  /** The load assumed for the whole key space before anything is measured; busy slots. */
-  private static final double PRIOR_TOTAL = 0.5;
+  /** The load assumed for the whole key space before any measurement; busy slots. */
+  private static final double INITIAL_TOTAL_LOAD = 0.5;
 
-  private static final float PRIOR = (float) (PRIOR_TOTAL / KeyRange.KEY_COUNT);
+  private static final float INITIAL_KEY_LOAD = (float) (INITIAL_TOTAL_LOAD / KeyRange.KEY_COUNT);
 
   private final double timeConstantMs;
   private final float[] work = new float[KeyRange.KEY_COUNT];
   private long decayedAtMs;
 
   /**
-   * Creates loads without any measurement.
+   * Creates loads without measurements.
    *
-   * @param timeConstantMs after which a measurement counts a third as much; milliseconds
-   * @param nowMs the time; milliseconds
+   * @param timeConstantMs the time after which the weight of a measurement has decayed to 1/e;
+   *     milliseconds
+   * @param nowMs the current time in milliseconds
    */
   public KeyLoads(double timeConstantMs, long nowMs) {
     this.timeConstantMs = timeConstantMs;
@@ -35,19 +36,19 @@
   }
 
   /**
-   * Adds measured work.
+   * Adds measured work of a key.
    *
    * @param key the key
-   * @param workMs the time that its requests took; milliseconds
+   * @param workMs the total duration of its requests; milliseconds
    */
   public void add(int key, double workMs) {
     work[key] += (float) (workMs / timeConstantMs);
   }
 
   /**
-   * Lets older measurements count less.
+   * Decays the measurements up to the current time.
    *
-   * @param nowMs the time; milliseconds
+   * @param nowMs the current time in milliseconds
    */
   public void decay(long nowMs) {
     float factor = (float) Math.exp(-(nowMs - decayedAtMs) / timeConstantMs);
@@ -64,7 +65,7 @@
    * @return busy slots, above 0
    */
   public double of(int key) {
-    return work[key] + PRIOR;
+    return work[key] + INITIAL_KEY_LOAD;
   }
 
   /**
@@ -78,6 +79,6 @@
     for (int key = range.first(); key <= range.last(); key++) {
       sum += work[key];
     }
-    return sum + range.size() * (double) PRIOR;
+    return sum + range.size() * (double) INITIAL_KEY_LOAD;
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/MovePlanner.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/MovePlanner.java
@@ -8,23 +8,26 @@
 import java.util.Map;
 
 /**
- * Decides, at one look at the load of a service, which keys move: hot keys to the fastest targets,
- * and in the same step what evens out the rest.
+ * Plans the key moves of one balancing round: hot keys go to the fastest targets, and in the same
+ * round further moves even out the remaining load.
  *
- * <p>Several hundred keys may turn hot together and lie close to one another, so that one target
- * owns them all. How fast they are spread must not depend on how many targets there are: the number
- * of moves at a time grows with them. In a model of 201 targets of which 60 neighbouring keys get
- * 44% of all load for 4 s, the slots carry 91% of the load; with ten moves at a time, hot keys one
- * by one and before all others, 60% ({@code HotSpotTest}).
+ * <p>Several hundred neighbouring keys may become hot together and belong to one target. The time
+ * to spread them must not depend on the size of the service, so the number of concurrent moves
+ * grows with the number of targets. In a model of 201 targets, with 60 neighbouring keys that
+ * receive 44% of the load for 4 s, the slots serve 91% of the load. With only ten concurrent moves,
+ * and hot keys moved one at a time and before all others, they serve 60% ({@code HotSpotTest}).
  *
  * @since 0.2
  */
 public final class MovePlanner {
 
-  /** Moves at the same time: each closes its keys for the rest of the work under way. */
-  private static final int LEAST_MOVES = 10;
+  /**
+   * Concurrent moves in a small service. Each move blocks its keys until the requests in flight
+   * have ended.
+   */
+  private static final int MIN_CONCURRENT_MOVES = 10;
 
-  /** In a wide service one move for so many targets: an eighth of them gains keys at a time. */
+  /** In a large service, one concurrent move per so many targets: an eighth of them gain keys. */
   private static final int TARGETS_PER_MOVE = 8;
 
   private final HotKeyPlacement hotKeys;
@@ -33,8 +36,8 @@
   /**
    * Creates a planner.
    *
-   * @param hotKeys places hot keys; not null
-   * @param balancer evens out the rest; not null
+   * @param hotKeys plans the moves of hot keys; not null
+   * @param balancer plans the other moves; not null
    */
   public MovePlanner(HotKeyPlacement hotKeys, RangeBalancer balancer) {
     this.hotKeys = hotKeys;
@@ -42,32 +45,33 @@
   }
 
   /**
-   * Returns how many moves may begin at a time.
+   * Returns how many moves may start at the same time.
    *
-   * @param targets how many targets the service has
+   * @param targets the number of targets of the service
    * @return at least 1
    */
   public static int maxMoves(int targets) {
-    return Math.max(LEAST_MOVES, targets / TARGETS_PER_MOVE);
+    return Math.max(MIN_CONCURRENT_MOVES, targets / TARGETS_PER_MOVE);
   }
 
   /**
-   * Finds moves.
+   * Plans the moves of one round.
    *
    * @param targets the targets that may own keys; not null
    * @param loads the load of each key; not null
-   * @param speeds the speed of each target; not null
+   * @param latencies the relative latency of each target; not null
    * @return moves that do not overlap; never null
    */
-  public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, RelativeLatencies speeds) {
-    int most = maxMoves(targets.size());
-    List<RangeMove> hot = hotKeys.plan(targets, loads, speeds, most);
+  public List<RangeMove> plan(
+      List<TargetLoad> targets, KeyLoads loads, RelativeLatencies latencies) {
+    int limit = maxMoves(targets.size());
+    List<RangeMove> hot = hotKeys.plan(targets, loads, latencies, limit);
     List<RangeMove> moves = new ArrayList<>(hot);
-    moves.addAll(balancer.plan(after(hot, targets), loads, most - hot.size()));
+    moves.addAll(balancer.plan(applyMoves(hot, targets), loads, limit - hot.size()));
     return moves;
   }
 
-  private static List<TargetLoad> after(List<RangeMove> moves, List<TargetLoad> targets) {
+  private static List<TargetLoad> applyMoves(List<RangeMove> moves, List<TargetLoad> targets) {
     if (moves.isEmpty()) {
       return targets;
     }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeBalancer.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeBalancer.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 
 /**
- * Finds the moves that even out the load of a service.
+ * Plans the moves that even out the load of a service.
  *
  * <p>From the busiest target it takes the narrowest run of keys whose load is about half of the
- * difference to the least busy one: hot keys lie close together, so few keys change hands.
+ * difference to the least busy target. Hot keys are close together, so few keys change owner.
  *
  * @since 0.2
  */
@@ -22,56 +22,56 @@
   /**
    * Creates a balancer.
    *
-   * @param settings when and how much it moves; not null
+   * @param settings thresholds and limits; not null
    */
   public RangeBalancer(BalancerSettings settings) {
     this.settings = settings;
   }
 
   /**
-   * Finds moves. A busy target may give to several others at once.
+   * Plans moves. A busy target may give keys to several others at once.
    *
    * @param targets the targets that may own keys; not null
    * @param loads the load of each key; not null
-   * @param maxMoves at most so many
-   * @return never null
+   * @param maxMoves the maximum number of moves
+   * @return moves that do not overlap; never null
    */
   public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, int maxMoves) {
-    List<Share> shares = new ArrayList<>();
-    double busy = 0;
+    List<ProjectedLoad> loadsByTarget = new ArrayList<>();
+    double totalLoad = 0;
     double slots = 0;
     for (TargetLoad target : targets) {
       double load = target.busySlots(loads);
-      busy += load;
+      totalLoad += load;
       slots += target.capacity();
-      shares.add(new Share(target, load));
+      loadsByTarget.add(new ProjectedLoad(target, load));
     }
-    double mean = slots == 0 ? 0 : busy / slots;
+    double mean = slots == 0 ? 0 : totalLoad / slots;
     List<RangeMove> moves = new ArrayList<>();
-    while (moves.size() < maxMoves && shares.size() > 1) {
-      shares.sort(Comparator.comparingDouble(Share::utilisation));
-      Share from = shares.get(shares.size() - 1);
-      Share to = shares.get(0);
+    while (moves.size() < maxMoves && loadsByTarget.size() > 1) {
+      loadsByTarget.sort(Comparator.comparingDouble(ProjectedLoad::utilisation));
+      ProjectedLoad from = loadsByTarget.get(loadsByTarget.size() - 1);
+      ProjectedLoad to = loadsByTarget.get(0);
       if (!isWorthwhile(from, to, mean)) {
         break;
       }
-      Optional<KeyRange> keys = cutFor(from, to, mean, loads);
+      Optional<KeyRange> keys = selectKeys(from, to, mean, loads);
       if (keys.isEmpty() && to.isEmpty()) {
         keys = startOfWidest(from.ranges);
       }
       if (keys.isEmpty()) {
-        shares.remove(from);
+        loadsByTarget.remove(from);
         continue;
       }
       moves.add(new RangeMove(keys.get(), from.id, to.id));
       double moved = loads.of(keys.get());
-      from.give(keys.get(), moved);
-      to.take(moved);
+      from.removeKeys(keys.get(), moved);
+      to.addLoad(moved);
     }
     return moves;
   }
 
-  private boolean isWorthwhile(Share from, Share to, double mean) {
+  private boolean isWorthwhile(ProjectedLoad from, ProjectedLoad to, double mean) {
     if (to.isEmpty()) {
       return true;
     }
@@ -81,40 +81,42 @@
         && busiest - to.utilisation() > settings.triggerGap();
   }
 
-  private static double wantedLoad(Share from, Share to) {
+  private static double excessLoad(ProjectedLoad from, ProjectedLoad to) {
     double evenShare = (from.load + to.load) / (from.slots + to.slots);
     return from.load - evenShare * from.slots;
   }
 
-  private Optional<KeyRange> cutFor(Share from, Share to, double mean, KeyLoads loads) {
-    double even = wantedLoad(from, to);
-    double room = roomOf(to, mean);
-    if (room > 0 && room < even) {
-      Optional<KeyRange> fitting = cut(from.ranges, room, loads);
+  private Optional<KeyRange> selectKeys(
+      ProjectedLoad from, ProjectedLoad to, double mean, KeyLoads loads) {
+    double excess = excessLoad(from, to);
+    double spare = spareCapacity(to, mean);
+    if (spare > 0 && spare < excess) {
+      Optional<KeyRange> fitting = cheapestOf(from.ranges, spare, loads);
       if (fitting.isPresent()) {
         return fitting;
       }
     }
-    return cut(from.ranges, even, loads);
+    return cheapestOf(from.ranges, excess, loads);
   }
 
   /**
-   * A target that is given half of a hot spot is the next one that is too busy: with several idle
-   * ones each gets what it can bear, and every key moves once.
+   * Returns the load that a target can take over. Without this limit, a target that receives half
+   * of a hot spot would be overloaded next. If several targets are idle, each receives as much as
+   * it can serve, and every key moves only once.
    */
-  private double roomOf(Share to, double mean) {
+  private double spareCapacity(ProjectedLoad to, double mean) {
     return Math.max(settings.fillShare(), mean) * to.slots - to.load;
   }
 
-  private Optional<KeyRange> cut(List<KeyRange> ranges, double wanted, KeyLoads loads) {
+  private Optional<KeyRange> cheapestOf(List<KeyRange> ranges, double desired, KeyLoads loads) {
     return ranges.stream()
-        .map(range -> cheapest(range, wanted, loads))
+        .map(range -> cheapestWindow(range, desired, loads))
         .flatMap(Optional::stream)
         .min(Comparator.comparingInt(Cut::cost))
         .map(Cut::keys);
   }
 
-  /** For a target that owns nothing: it has to be of some use, also while nobody is busy. */
+  /** Selects keys for a target that owns none: it should serve requests even under low load. */
   private Optional<KeyRange> startOfWidest(List<KeyRange> ranges) {
     return ranges.stream()
         .max(Comparator.comparingInt(KeyRange::size))
@@ -126,20 +128,20 @@
             });
   }
 
-  /** Slides a window over the range: it never holds more than is wanted, and as few keys as can. */
-  private Optional<Cut> cheapest(KeyRange range, double wanted, KeyLoads loads) {
-    double least = wanted * settings.minShare();
-    double most = wanted * settings.maxShare();
+  /** Slides a window over the range that holds as few keys as possible within the load limits. */
+  private Optional<Cut> cheapestWindow(KeyRange range, double desired, KeyLoads loads) {
+    double minLoad = desired * settings.minShare();
+    double maxLoad = desired * settings.maxShare();
     Cut best = null;
     double sum = 0;
     int first = range.first();
     for (int last = range.first(); last <= range.last(); last++) {
       sum += loads.of(last);
-      while (first < last && (sum > most || canDrop(range, first, sum, least, loads))) {
+      while (first < last && (sum > maxLoad || canShrink(range, first, sum, minLoad, loads))) {
         sum -= loads.of(first);
         first++;
       }
-      boolean fits = sum >= least && sum <= most && last - first < settings.maxKeys();
+      boolean fits = sum >= minLoad && sum <= maxLoad && last - first < settings.maxKeys();
       Cut cut = fits ? Cut.of(new KeyRange(first, last), range) : null;
       if (cut != null && (best == null || cut.cost() < best.cost())) {
         best = cut;
@@ -148,29 +150,32 @@
     return Optional.ofNullable(best);
   }
 
-  /** A window that begins with the range keeps doing so while that leaves fewer pieces. */
-  private static boolean canDrop(
-      KeyRange range, int first, double sum, double least, KeyLoads loads) {
-    boolean enoughLeft = sum - loads.of(first) >= least;
+  /**
+   * Returns whether the first key can leave the window. A window at the start of the range keeps
+   * it, as this leaves fewer fragments, until it holds twice the minimum load.
+   */
+  private static boolean canShrink(
+      KeyRange range, int first, double sum, double minLoad, KeyLoads loads) {
+    boolean enoughLeft = sum - loads.of(first) >= minLoad;
     boolean atStart = first == range.first();
-    return enoughLeft && !(atStart && sum < 2 * least);
+    return enoughLeft && !(atStart && sum < 2 * minLoad);
   }
 
-  /** A target with its load, as it will be after the moves planned so far. */
-  private static final class Share {
+  /** The load and ranges of a target after the moves planned so far. */
+  private static final class ProjectedLoad {
 
     private final TargetId id;
     private final double slots;
     private final List<KeyRange> ranges;
     private double load;
-    private boolean gains;
+    private boolean receivesKeys;
 
-    Share(TargetLoad target, double load) {
+    ProjectedLoad(TargetLoad target, double load) {
       this.id = target.id();
       this.slots = target.capacity();
       this.ranges = new ArrayList<>(target.ranges());
       this.load = load;
-      this.gains = !target.otherRanges().isEmpty();
+      this.receivesKeys = !target.otherRanges().isEmpty();
     }
 
     double utilisation() {
@@ -178,16 +183,16 @@
     }
 
     boolean isEmpty() {
-      return ranges.isEmpty() && !gains;
+      return ranges.isEmpty() && !receivesKeys;
     }
 
-    void take(double moved) {
+    void addLoad(double moved) {
       load += moved;
-      gains = true;
+      receivesKeys = true;
     }
 
-    /** Cuts the keys out of the range that has them. */
-    void give(KeyRange keys, double moved) {
+    /** Cuts the keys out of the range that contains them. */
+    void removeKeys(KeyRange keys, double moved) {
       load -= moved;
       for (int i = 0; i < ranges.size(); i++) {
         KeyRange range = ranges.get(i);
@@ -201,20 +206,20 @@
   }
 
   /**
-   * Keys to move, and what that costs.
+   * Keys to move and the cost of the move.
    *
    * @param keys the keys; not null
-   * @param cost the keys, and a charge for each piece that is left over: every piece is a lease
+   * @param cost the number of keys, plus a charge for each remaining fragment, as each is a lease
    */
   private record Cut(KeyRange keys, int cost) {
 
-    /** A piece is worth moving so many keys more. */
-    private static final int PIECE_COST = 400;
+    /** Avoiding one fragment justifies moving this many more keys. */
+    private static final int FRAGMENT_COST = 400;
 
     static Cut of(KeyRange keys, KeyRange range) {
-      int pieces = keys.first() > range.first() ? 1 : 0;
-      pieces += keys.last() < range.last() ? 1 : 0;
-      return new Cut(keys, keys.size() + pieces * PIECE_COST);
+      int fragments = keys.first() > range.first() ? 1 : 0;
+      fragments += keys.last() < range.last() ? 1 : 0;
+      return new Cut(keys, keys.size() + fragments * FRAGMENT_COST);
     }
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeDefragmenter.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeDefragmenter.java
@@ -11,35 +11,35 @@
 import java.util.Set;
 
 /**
- * Gives narrow ranges that cause little work back to the owner of their neighbours.
+ * Moves narrow ranges with little load back to the owner of a neighbouring range.
  *
- * <p>Hot keys cut the key space into pieces. Each piece is a lease to renew, and the next holder of
- * the term has to grant them all before it can serve; once the keys are no longer hot, the pieces
- * are joined again.
+ * <p>Hot keys fragment the key space. Each fragment is a lease to renew, and a new term holder has
+ * to grant all of them before it can serve. Once the keys are no longer hot, the fragments are
+ * merged again.
  *
  * @since 0.2
  */
 public final class RangeDefragmenter {
 
-  /** Wider ranges are no fragments. */
-  private static final int MAX_KEYS = 1_024;
+  /** Maximum number of keys of a fragment. */
+  private static final int MAX_FRAGMENT_KEYS = 1_024;
 
-  /** Nor are those that are wider than this part of an even share of all keys. */
+  /** Maximum width of a fragment, as a fraction of an even share of all keys. */
   private static final double FRAGMENT_SHARE = 0.25;
 
-  /** A range that keeps more of a slot busy stays where the balancer put it. */
-  private static final double MAX_LOAD = 0.25;
+  /** Maximum busy slots of a fragment; a range with more load stays where the balancer put it. */
+  private static final double MAX_FRAGMENT_LOAD = 0.25;
 
-  /** A target that is busier than this takes nothing more. */
-  private static final double MAX_SHARE = 0.5;
+  /** Share of busy slots from which a target receives no fragments. */
+  private static final double MAX_RECEIVER_UTILISATION = 0.5;
 
   /**
-   * Finds moves, at most one for each target.
+   * Plans moves, at most one for each target.
    *
-   * @param targets the targets with the ranges that may be moved; not null
+   * @param targets the targets with their movable ranges; not null
    * @param loads the load of each key; not null
-   * @param maxMoves at most so many
-   * @return never null
+   * @param maxMoves the maximum number of moves
+   * @return the moves; never null
    */
   public List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, int maxMoves) {
     Map<TargetId, TargetLoad> byId = new HashMap<>();
@@ -48,26 +48,26 @@
       byId.put(target.id(), target);
       target.ranges().forEach(range -> owned.add(new OwnedRange(range, target.id())));
     }
-    owned.sort(Comparator.comparingInt(one -> one.range().first()));
+    owned.sort(Comparator.comparingInt(entry -> entry.range().first()));
     double evenShare = (double) KeyRange.KEY_COUNT / targets.size();
-    double mostKeys = Math.min(MAX_KEYS, FRAGMENT_SHARE * evenShare);
+    double maxKeys = Math.min(MAX_FRAGMENT_KEYS, FRAGMENT_SHARE * evenShare);
     List<RangeMove> moves = new ArrayList<>();
-    Set<TargetId> used = new HashSet<>();
+    Set<TargetId> involved = new HashSet<>();
     for (int i = 0; i < owned.size() && moves.size() < maxMoves; i++) {
       OwnedRange fragment = owned.get(i);
-      boolean isOnly = byId.get(fragment.owner()).ranges().size() == 1;
-      if (isOnly || !isFragment(fragment.range(), mostKeys, loads)) {
+      boolean isOnlyRange = byId.get(fragment.owner()).ranges().size() == 1;
+      if (isOnlyRange || !isFragment(fragment.range(), maxKeys, loads)) {
         continue;
       }
       for (OwnedRange neighbour : neighbours(owned, i)) {
         boolean fits =
-            takesMore(byId.get(neighbour.owner()), loads)
-                && !used.contains(neighbour.owner())
-                && !used.contains(fragment.owner());
+            hasSpareCapacity(byId.get(neighbour.owner()), loads)
+                && !involved.contains(neighbour.owner())
+                && !involved.contains(fragment.owner());
         if (fits) {
           moves.add(new RangeMove(fragment.range(), fragment.owner(), neighbour.owner()));
-          used.add(fragment.owner());
-          used.add(neighbour.owner());
+          involved.add(fragment.owner());
+          involved.add(neighbour.owner());
           break;
         }
       }
@@ -75,25 +75,25 @@
     return moves;
   }
 
-  private static boolean isFragment(KeyRange range, double mostKeys, KeyLoads loads) {
-    return range.size() <= mostKeys && loads.of(range) <= MAX_LOAD;
+  private static boolean isFragment(KeyRange range, double maxKeys, KeyLoads loads) {
+    return range.size() <= maxKeys && loads.of(range) <= MAX_FRAGMENT_LOAD;
   }
 
-  private static boolean takesMore(TargetLoad target, KeyLoads loads) {
-    return target.busySlots(loads) / target.capacity() < MAX_SHARE;
+  private static boolean hasSpareCapacity(TargetLoad target, KeyLoads loads) {
+    return target.busySlots(loads) / target.capacity() < MAX_RECEIVER_UTILISATION;
   }
 
   private static List<OwnedRange> neighbours(List<OwnedRange> owned, int index) {
     List<OwnedRange> result = new ArrayList<>();
-    OwnedRange one = owned.get(index);
-    if (index > 0 && owned.get(index - 1).range().last() + 1 == one.range().first()) {
+    OwnedRange entry = owned.get(index);
+    if (index > 0 && owned.get(index - 1).range().last() + 1 == entry.range().first()) {
       result.add(owned.get(index - 1));
     }
     if (index + 1 < owned.size()
-        && one.range().last() + 1 == owned.get(index + 1).range().first()) {
+        && entry.range().last() + 1 == owned.get(index + 1).range().first()) {
       result.add(owned.get(index + 1));
     }
-    result.removeIf(neighbour -> neighbour.owner().equals(one.owner()));
+    result.removeIf(neighbour -> neighbour.owner().equals(entry.owner()));
     return result;
   }
 
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeMove.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RangeMove.java
@@ -4,11 +4,11 @@
 import io.cuminvalve.core.lease.KeyRange;
 
 /**
- * A range that should have another owner.
+ * A planned change of the owner of a key range.
  *
  * @param keys the keys; not null
- * @param from the owner now; not null
- * @param to the next owner; not null
+ * @param from the current owner; not null
+ * @param to the new owner; not null
  * @since 0.2
  */
 public record RangeMove(KeyRange keys, TargetId from, TargetId to) {}
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RelativeLatencies.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/RelativeLatencies.java
@@ -5,41 +5,40 @@
 import java.util.Map;
 
 /**
- * How slow each target is in relation to the others of its service.
+ * The latency of each target relative to the other targets of its service.
  *
- * <p>Measured as the time of its answers over the mean of their route. Answers of a target that is
- * busy tell more of its queue than of its speed and are left out. Not safe for use by several
- * threads.
+ * <p>Measured as the response time of a target over the mean of the route. Responses of busy
+ * targets are left out, as they reflect the queue rather than the speed. Not thread-safe.
  *
  * @since 0.2
  */
 public final class RelativeLatencies {
 
-  /** After so many answers the mean of the past counts half. */
-  private static final double HALF_SAMPLES = 60;
+  /** After this many responses the previous value has a weight of one half. */
+  private static final double HALF_WEIGHT_SAMPLES = 60;
 
-  private final Map<TargetId, Double> slowness = new HashMap<>();
+  private final Map<TargetId, Double> latencies = new HashMap<>();
 
   /**
-   * Takes a measurement.
+   * Adds a measurement.
    *
    * @param target the target; not null
-   * @param meanRelativeTime the mean time of its answers over the mean of their routes
-   * @param answers how many answers that was
+   * @param meanRelativeTime the mean response time over the mean of the routes
+   * @param answers the number of responses measured
    */
   public void onAnswers(TargetId target, double meanRelativeTime, int answers) {
-    double weight = answers / (answers + HALF_SAMPLES);
-    double before = of(target);
-    slowness.put(target, before + weight * (meanRelativeTime - before));
+    double weight = answers / (answers + HALF_WEIGHT_SAMPLES);
+    double previous = of(target);
+    latencies.put(target, previous + weight * (meanRelativeTime - previous));
   }
 
   /**
-   * Returns how slow a target is.
+   * Returns the relative latency of a target.
    *
    * @param target the target; not null
-   * @return 1 for the mean and for a target that is unknown; 2 for half the speed
+   * @return 1 for the mean and for an unknown target; 2 for half the speed
    */
   public double of(TargetId target) {
-    return slowness.getOrDefault(target, 1.0);
+    return latencies.getOrDefault(target, 1.0);
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/TargetLoad.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/TargetLoad.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * What a target owns and can do.
+ * The key ranges and the capacity of a target.
  *
  * @param id the target; not null
- * @param slots how many requests it works on at the same time
- * @param capacity how many busy slots all its requests may take: fewer than its slots if it names a
- *     limit
- * @param ranges what it owns and what may be moved; not null
- * @param otherRanges what it owns or is about to own, but cannot be moved now; not null
+ * @param slots how many requests it processes concurrently
+ * @param capacity how many busy slots its requests may use in total; fewer than its slots if it
+ *     announces a limit
+ * @param ranges ranges that it owns and that may be moved; not null
+ * @param otherRanges ranges that it owns or is about to own and that cannot be moved now; not null
  * @since 0.2
  */
 public record TargetLoad(
@@ -25,19 +25,20 @@
   }
 
   /**
-   * Creates the load of a target that names no limit.
+   * Creates the load of a target that announces no limit.
    *
    * @param id the target; not null
-   * @param slots how many requests it works on at the same time
-   * @param ranges what it owns and what may be moved; not null
-   * @param otherRanges what it owns or is about to own, but cannot be moved now; not null
+   * @param slots how many requests it processes concurrently
+   * @param ranges ranges that it owns and that may be moved; not null
+   * @param otherRanges ranges that it owns or is about to own and that cannot be moved now; not
+   *     null
    */
   public TargetLoad(TargetId id, int slots, List<KeyRange> ranges, List<KeyRange> otherRanges) {
     this(id, slots, slots, ranges, otherRanges);
   }
 
   /**
-   * Returns the load of all its ranges.
+   * Returns the load of all ranges of the target.
    *
    * @param loads the load of each key; not null
    * @return busy slots
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/package-info.java
@@ -1,2 +1,2 @@
-/** Balances key ranges over targets by the work that each key causes. */
+/** Balances key ranges over targets by the measured load of each key. */
 package io.cuminvalve.core.balance;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/Claim.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/Claim.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * A claim that a request of this router makes.
+ * A pending claim of an operation by a request of this router.
  *
  * @since 0.1
  */
@@ -20,12 +20,12 @@
   final long deadlineMs;
   final long startedAtMs;
 
-  /** Digest of the registered routers under which the keepers were asked. */
+  /** Digest of the registered routers from which the replicas were chosen. */
   long routersDigest;
 
-  List<RouterId> keepers = List.of();
+  List<RouterId> replicas = List.of();
   final Set<RouterId> granted = new HashSet<>();
-  final Map<RouterId, Long> askedAtMs = new HashMap<>();
+  final Map<RouterId, Long> requestedAtMs = new HashMap<>();
   boolean ended;
 
   Claim(OperationId operation, RequestId request, long deadlineMs, long startedAtMs) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentAnswer.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentAnswer.java
@@ -1,19 +1,22 @@
 package io.cuminvalve.core.intent;
 
 /**
- * What a keeper says to a claim.
+ * Result of a claim at one replica.
  *
  * @since 0.1
  */
 public enum IntentAnswer {
-  /** The claim is kept; no other request may claim the operation. */
+  /** The replica stored the claim; no other request may claim the operation. */
   GRANTED,
-  /** Another request claimed it and has not ended. */
+  /** Another request has claimed the operation and has not ended. */
   IN_FLIGHT,
-  /** An earlier request ran. */
+  /** An earlier request executed the operation. */
   RAN,
-  /** An earlier request may have run. */
+  /** An earlier request may have executed the operation. */
   MAY_HAVE_RUN,
-  /** The keeper has other registered routers than the sender, or has not caught up. */
+  /**
+   * The replica is full, is still recovering, or has a different set of registered routers than the
+   * sender.
+   */
   NOT_READY
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentCoordinator.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentCoordinator.java
@@ -22,36 +22,36 @@
 import java.util.Map;
 
 /**
- * The intents of one router for one cell: claims operations for its requests, and is a keeper of
- * the operations that the registered routers give it.
+ * Coordinates the claims of one router in one cell: claims operations for the requests of the
+ * router, and serves as a replica of the operations assigned to it.
  *
- * <p>An operation has three keepers, chosen by {@link RendezvousHash}. A claim is granted when two
- * of them remember it, so before the first byte of a request two routers know of it, and the loss
- * of one keeper neither forgets a claim nor stops new ones.
+ * <p>An operation has three replicas, chosen by {@link RendezvousHash}. A claim is granted when two
+ * of them have stored it. Two routers therefore know of a request before its first byte is sent,
+ * and the loss of one replica neither loses a claim nor blocks new ones.
  *
- * <p>Not thread-safe: the caller serialises all calls of one desk.
+ * <p>Not thread-safe: the caller serialises all calls of one coordinator.
  *
  * @since 0.1
  */
 public final class IntentCoordinator {
 
-  /** How many routers know of a claim before the request is sent. */
-  static final int COPIES = 2;
+  /** How many replicas must store a claim before the request is sent. */
+  static final int WRITE_QUORUM = 2;
 
-  private static final int KEEPERS = 3;
+  private static final int REPLICAS = 3;
   private static final int ENTRIES_PER_MESSAGE = 10_000;
-  private static final int ASKS_PER_PATIENCE = 6;
+  private static final int ATTEMPTS_PER_TIMEOUT = 6;
 
   private final CellId cell;
   private final RouterId self;
   private final Incarnation incarnation;
   private final IntentSettings settings;
   private final IntentSink sink;
-  private final IntentReplica keeper;
-  private final IntentRecovery catchUp = new IntentRecovery();
+  private final IntentReplica replica;
+  private final IntentRecovery recovery = new IntentRecovery();
   private final Map<RequestId, Claim> claims = new HashMap<>();
-  private final Map<RouterId, IntentPullRequest> pullsDue = new HashMap<>();
-  private final Map<RouterId, Incarnation> runs = new HashMap<>();
+  private final Map<RouterId, IntentPullRequest> deferredPulls = new HashMap<>();
+  private final Map<RouterId, Incarnation> incarnations = new HashMap<>();
   private final Map<RouterId, Long> restartedAtMs = new HashMap<>();
   private TableVersion version = TableVersion.NONE;
   private RendezvousHash routers = new RendezvousHash(List.of());
@@ -60,13 +60,13 @@
   private long pulledAtMs;
 
   /**
-   * Creates the desk of a router that has no table yet and remembers nothing.
+   * Creates the coordinator of a router that has no table yet and an empty replica.
    *
    * @param cell the cell; not null
    * @param self the router; not null
-   * @param incarnation its current run; not null
-   * @param settings limits and times; not null
-   * @param sink receives the effects; not null
+   * @param incarnation the current incarnation of the router; not null
+   * @param settings limits and timeouts; not null
+   * @param sink receives results and messages; not null
    */
   public IntentCoordinator(
       CellId cell,
@@ -79,14 +79,14 @@
     this.incarnation = incarnation;
     this.settings = settings;
     this.sink = sink;
-    this.keeper = new IntentReplica(settings);
+    this.replica = new IntentReplica(settings);
   }
 
   /**
-   * Takes a table version.
+   * Applies a table version.
    *
    * @param newVersion the version; older ones are ignored; not null
-   * @param newRouters its registered routers; not null
+   * @param newRouters the registered routers of the version; not null
    * @param nowMs the current time in milliseconds
    */
   public void onTable(TableVersion newVersion, List<RegisteredRouter> newRouters, long nowMs) {
@@ -99,35 +99,35 @@
     boolean sameRouters = next && newIds.equals(routerIds);
     version = newVersion;
     if (sameRouters) {
-      catchUp.onSameRouters(version);
+      recovery.onSameRouters(version);
     } else {
       changeRouters(newRouters, newIds, nowMs);
     }
-    List<IntentPullRequest> due = new ArrayList<>(pullsDue.values());
-    pullsDue.clear();
+    List<IntentPullRequest> due = new ArrayList<>(deferredPulls.values());
+    deferredPulls.clear();
     due.forEach(request -> onPullRequest(request, nowMs));
   }
 
   /**
-   * Claims an operation; the sink gets the answer, at once or later.
+   * Claims an operation; the sink receives the result, during this call or later.
    *
    * @param operation the operation; not null
-   * @param request the request, unique over all routers and runs; not null
-   * @param deadlineMs its deadline on the router's clock
+   * @param request the request, unique over all routers and incarnations; not null
+   * @param deadlineMs the deadline of the request on the router's clock
    * @param nowMs the current time in milliseconds
    */
   public void claim(OperationId operation, RequestId request, long deadlineMs, long nowMs) {
     Claim claim = new Claim(operation, request, deadlineMs, nowMs);
     claims.put(request, claim);
-    proceed(claim, nowMs);
+    advance(claim, nowMs);
   }
 
   /**
-   * Tells the keepers how a request ended that claimed an operation or wanted to.
+   * Reports the outcome of a request to the replicas, whether or not its claim was granted.
    *
    * @param operation the operation; not null
    * @param request the request; not null
-   * @param verdict how it ended; not null
+   * @param verdict the outcome; not null
    * @param nowMs the current time in milliseconds
    */
   public void settle(OperationId operation, RequestId request, Verdict verdict, long nowMs) {
@@ -135,9 +135,9 @@
     if (claim != null) {
       claim.ended = true;
     }
-    for (RouterId to : keepersOf(operation)) {
+    for (RouterId to : replicasOf(operation)) {
       if (to.equals(self)) {
-        keeper.settle(operation, request, self, verdict, nowMs);
+        replica.settle(operation, request, self, verdict, nowMs);
       } else {
         sink.send(to, new IntentSettled(cell, self, operation, request, verdict));
       }
@@ -145,7 +145,7 @@
   }
 
   /**
-   * Takes a message of another router. Messages that are not about intents are ignored.
+   * Handles a message of another router. Messages that do not concern claims are ignored.
    *
    * @param message the message; not null
    * @param from the sender; not null
@@ -153,12 +153,12 @@
    */
   public void onMessage(PeerMessage message, RouterId from, long nowMs) {
     if (message instanceof IntentClaimRequest request) {
-      noteRun(request.router(), request.incarnation(), nowMs);
+      updateIncarnation(request.router(), request.incarnation(), nowMs);
       sink.send(from, answer(request, nowMs));
     } else if (message instanceof IntentClaimReply reply) {
       onClaimReply(reply, nowMs);
     } else if (message instanceof IntentSettled settled) {
-      keeper.settle(
+      replica.settle(
           settled.operation(), settled.request(), settled.router(), settled.verdict(), nowMs);
     } else if (message instanceof IntentPullRequest request) {
       onPullRequest(request, nowMs);
@@ -168,91 +168,92 @@
   }
 
   /**
-   * Lets time pass; to be called at least every 20 milliseconds.
+   * Processes timeouts and retries; to be called at least every 20 milliseconds.
    *
    * @param nowMs the current time in milliseconds
    */
   public void tick(long nowMs) {
-    keeper.tick(nowMs);
+    replica.tick(nowMs);
     restartedAtMs.values().removeIf(atMs -> nowMs - atMs >= settings.retentionMs());
-    catchUp.check(version, routerIds, settings.catchUpLimitMs(), nowMs);
-    if (!catchUp.isReady() && nowMs - pulledAtMs >= settings.patienceMs()) {
+    recovery.check(version, routerIds, settings.recoveryTimeoutMs(), nowMs);
+    if (!recovery.isReady() && nowMs - pulledAtMs >= settings.claimTimeoutMs()) {
       pull(nowMs);
     }
-    new ArrayList<>(claims.values()).forEach(claim -> proceed(claim, nowMs));
+    new ArrayList<>(claims.values()).forEach(claim -> advance(claim, nowMs));
   }
 
   /**
-   * Tells whether this router answers as a keeper.
+   * Returns whether this router answers claims as a replica.
    *
-   * @return false until it has caught up
+   * @return false until its recovery is complete
    */
   public boolean isReady() {
-    return catchUp.isReady();
+    return recovery.isReady();
   }
 
   /**
-   * Returns how many operations this router remembers.
+   * Returns how many operations the replica of this router stores.
    *
-   * @return their number
+   * @return the number of operations
    */
   public int size() {
-    return keeper.size();
+    return replica.size();
   }
 
   private void changeRouters(List<RegisteredRouter> newRouters, List<RouterId> newIds, long nowMs) {
     for (RouterId earlier : routerIds) {
       if (!newIds.contains(earlier)) {
-        keeper.onRouterLost(earlier, nowMs);
+        replica.onRouterLost(earlier, nowMs);
       }
     }
     routers = new RendezvousHash(newRouters);
     routerIds = newIds;
     routersDigest = KeyHasher.hash(newIds.toString());
-    catchUp.start(self, routerIds, nowMs);
+    recovery.start(self, routerIds, nowMs);
     pull(nowMs);
-    catchUp.check(version, routerIds, settings.catchUpLimitMs(), nowMs);
+    recovery.check(version, routerIds, settings.recoveryTimeoutMs(), nowMs);
   }
 
   private void pull(long nowMs) {
     pulledAtMs = nowMs;
-    for (RouterId router : catchUp.silent()) {
-      sink.send(router, new IntentPullRequest(cell, self, incarnation, version, catchUp.nonce()));
+    for (RouterId router : recovery.unanswered()) {
+      sink.send(router, new IntentPullRequest(cell, self, incarnation, version, recovery.nonce()));
     }
   }
 
-  private List<RouterId> keepersOf(OperationId operation) {
-    return routers.pick(operation.hash(), KEEPERS);
+  private List<RouterId> replicasOf(OperationId operation) {
+    return routers.pick(operation.hash(), REPLICAS);
   }
 
-  private void proceed(Claim claim, long nowMs) {
+  private void advance(Claim claim, long nowMs) {
     if (claim.ended) {
       return;
     }
-    if (nowMs >= claim.deadlineMs || nowMs - claim.startedAtMs >= settings.patienceMs()) {
+    if (nowMs >= claim.deadlineMs || nowMs - claim.startedAtMs >= settings.claimTimeoutMs()) {
       refuse(claim, Verdict.MAY_HAVE_RUN, RefusalReason.INTENT_UNAVAILABLE, 0, nowMs);
       return;
     }
     if (claim.routersDigest != routersDigest) {
       claim.routersDigest = routersDigest;
-      claim.keepers = keepersOf(claim.operation);
+      claim.replicas = replicasOf(claim.operation);
       claim.granted.clear();
-      claim.askedAtMs.clear();
+      claim.requestedAtMs.clear();
     }
-    long askAgainMs = settings.patienceMs() / ASKS_PER_PATIENCE;
-    boolean late = nowMs - claim.startedAtMs >= askAgainMs;
-    int wanted = late ? claim.keepers.size() : Math.min(COPIES, claim.keepers.size());
-    for (RouterId to : claim.keepers.subList(0, wanted)) {
-      Long askedAtMs = claim.askedAtMs.get(to);
-      boolean due = askedAtMs == null || nowMs - askedAtMs >= askAgainMs;
+    long retryIntervalMs = settings.claimTimeoutMs() / ATTEMPTS_PER_TIMEOUT;
+    boolean useAllReplicas = nowMs - claim.startedAtMs >= retryIntervalMs;
+    int replicaCount =
+        useAllReplicas ? claim.replicas.size() : Math.min(WRITE_QUORUM, claim.replicas.size());
+    for (RouterId to : claim.replicas.subList(0, replicaCount)) {
+      Long requestedAtMs = claim.requestedAtMs.get(to);
+      boolean due = requestedAtMs == null || nowMs - requestedAtMs >= retryIntervalMs;
       if (due && !claim.ended && !claim.granted.contains(to)) {
-        claim.askedAtMs.put(to, nowMs);
-        ask(claim, to, nowMs);
+        claim.requestedAtMs.put(to, nowMs);
+        sendClaim(claim, to, nowMs);
       }
     }
   }
 
-  private void ask(Claim claim, RouterId to, long nowMs) {
+  private void sendClaim(Claim claim, RouterId to, long nowMs) {
     IntentClaimRequest request =
         new IntentClaimRequest(
             cell,
@@ -270,12 +271,12 @@
     }
   }
 
-  /** Answers a claim whose sender has the same registered routers. */
+  /** Answers a claim; NOT_READY if the sender has different registered routers. */
   private IntentClaimReply answer(IntentClaimRequest request, long nowMs) {
     boolean sameRouters = request.routersDigest() == routersDigest;
     IntentAnswer answer =
-        sameRouters && catchUp.isReady()
-            ? keeper.claim(
+        sameRouters && recovery.isReady()
+            ? replica.claim(
                 request.operation(),
                 request.request(),
                 request.router(),
@@ -288,7 +289,7 @@
         request.operation(),
         request.request(),
         answer,
-        settings.patienceMs(),
+        settings.claimTimeoutMs(),
         request.routersDigest());
   }
 
@@ -310,40 +311,40 @@
               reply.retryAfterMs(),
               nowMs);
       default -> {
-        // Not ready: asked again, and the third keeper too, until patience ends.
+        // Not ready: retried, also at the third replica, until the claim times out.
       }
     }
   }
 
   private void onGranted(Claim claim, RouterId by) {
     claim.granted.add(by);
-    if (claim.granted.size() >= Math.min(COPIES, claim.keepers.size())) {
+    if (claim.granted.size() >= Math.min(WRITE_QUORUM, claim.replicas.size())) {
       claim.ended = true;
       claims.remove(claim.request);
       sink.granted(claim.request);
     }
   }
 
-  /** Ends a claim; keepers that granted it are told that its request did not run. */
+  /** Refuses a claim and tells the replicas that its request did not run. */
   private void refuse(
       Claim claim, Verdict earlier, RefusalReason reason, long retryAfterMs, long nowMs) {
     settle(claim.operation, claim.request, Verdict.NOT_RUN, nowMs);
     long afterMs =
-        reason == RefusalReason.INTENT_UNAVAILABLE ? settings.patienceMs() : retryAfterMs;
+        reason == RefusalReason.INTENT_UNAVAILABLE ? settings.claimTimeoutMs() : retryAfterMs;
     sink.refused(claim.request, earlier, reason, afterMs);
   }
 
   private void onPullRequest(IntentPullRequest request, long nowMs) {
     if (request.version().isNewerThan(version)) {
-      pullsDue.put(request.router(), request);
+      deferredPulls.put(request.router(), request);
       return;
     }
-    noteRun(request.router(), request.incarnation(), nowMs);
+    updateIncarnation(request.router(), request.incarnation(), nowMs);
     List<IntentEntry> wanted = new ArrayList<>();
-    keeper.forEach(
+    replica.forEach(
         nowMs,
         entry -> {
-          if (routers.isPicked(request.router(), entry.operation().hash(), KEEPERS)) {
+          if (routers.isPicked(request.router(), entry.operation().hash(), REPLICAS)) {
             wanted.add(entry);
           }
         });
@@ -359,8 +360,8 @@
               incarnation,
               version,
               request.nonce(),
-              catchUp.completeVersion(),
-              catchUp.completeRouters(),
+              recovery.completeVersion(),
+              recovery.completeRouters(),
               List.copyOf(wanted.subList(from, to)),
               last,
               List.copyOf(restartedAtMs.keySet())));
@@ -369,18 +370,21 @@
   }
 
   private void onPullReply(IntentPullReply reply, long nowMs) {
-    reply.entries().forEach(entry -> keeper.merge(entry, nowMs));
-    if (reply.nonce() == catchUp.nonce() && reply.last()) {
-      catchUp.onReply(reply);
-      catchUp.check(version, routerIds, settings.catchUpLimitMs(), nowMs);
+    reply.entries().forEach(entry -> replica.merge(entry, nowMs));
+    if (reply.nonce() == recovery.nonce() && reply.last()) {
+      recovery.onReply(reply);
+      recovery.check(version, routerIds, settings.recoveryTimeoutMs(), nowMs);
     }
   }
 
-  /** Notes the run of a router; a new one knows nothing of the requests of the last. */
-  private void noteRun(RouterId router, Incarnation run, long nowMs) {
-    Incarnation earlier = runs.put(router, run);
-    if (earlier != null && !earlier.equals(run)) {
-      keeper.onRouterLost(router, nowMs);
+  /**
+   * Records the incarnation of a router. A new incarnation knows nothing of the requests of the
+   * previous one, so the claims of those are ended.
+   */
+  private void updateIncarnation(RouterId router, Incarnation reported, long nowMs) {
+    Incarnation earlier = incarnations.put(router, reported);
+    if (earlier != null && !earlier.equals(reported)) {
+      replica.onRouterLost(router, nowMs);
       restartedAtMs.put(router, nowMs);
     }
   }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentEntry.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentEntry.java
@@ -4,26 +4,26 @@
 import io.cuminvalve.core.id.RouterId;
 
 /**
- * What a keeper knows of one operation, as copied between keepers.
+ * State of one operation at a replica, as copied between replicas.
  *
  * @param operation the operation; not null
  * @param request the request that claimed it; not null
- * @param router the router that has the request; not null
- * @param state CLAIMED until its end is known; not null
- * @param remainingMs how long the state holds: the rest of the deadline of a claim, the rest of the
- *     retention of an ended operation; milliseconds
+ * @param router the router that handles the request; not null
+ * @param state CLAIMED until the outcome is known; not null
+ * @param remainingMs how long the state remains valid: the time until the deadline of a claim, or
+ *     the remaining retention time of an ended operation; milliseconds
  * @since 0.1
  */
 public record IntentEntry(
     OperationId operation, RequestId request, RouterId router, State state, long remainingMs) {
 
-  /** How far the operation is. */
+  /** Progress of an operation. */
   public enum State {
-    /** A request claimed it and has not ended. */
+    /** A request has claimed the operation and has not ended. */
     CLAIMED,
-    /** It ran. */
+    /** The operation was executed. */
     RAN,
-    /** It may have run. */
+    /** The operation may have been executed. */
     MAY_HAVE_RUN
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentRecovery.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentRecovery.java
@@ -10,13 +10,14 @@
 import java.util.Set;
 
 /**
- * Whether a keeper has caught up after a change of the registered routers or after its start.
+ * Tracks whether a replica has recovered the claims of the others after its start or after a change
+ * of the registered routers.
  *
- * <p>Each granted claim is at {@link IntentCoordinator#COPIES} keepers. So a keeper that heard of
- * all but one of the routers that could grant before knows of each claim; and since those no longer
- * grant under the earlier routers, no claim can be granted there any more. A router that answers,
- * but has not caught up itself, is one that was heard of only if nobody met an earlier run of it:
- * it has granted nothing yet.
+ * <p>Each granted claim is stored by {@link IntentCoordinator#WRITE_QUORUM} replicas. A replica
+ * that has read the entries of all but one of the routers that could grant before therefore knows
+ * every claim. Those routers no longer grant under the earlier set of routers, so no further claim
+ * can be granted under it. A router that replies without having recovered itself counts as read
+ * only if no router has seen an earlier incarnation of it: it has granted nothing yet.
  *
  * @since 0.1
  */
@@ -27,8 +28,8 @@
 
   private TableVersion newestVersion = TableVersion.NONE;
   private List<RouterId> newestRouters = List.of();
-  private final Set<RouterId> silent = new LinkedHashSet<>();
-  private final Set<RouterId> heard = new HashSet<>();
+  private final Set<RouterId> unanswered = new LinkedHashSet<>();
+  private final Set<RouterId> recoveredFrom = new HashSet<>();
   private final Set<RouterId> answered = new HashSet<>();
   private final Set<RouterId> restarted = new HashSet<>();
   private boolean ready;
@@ -51,48 +52,48 @@
     return completeRouters;
   }
 
-  /** Returns the routers that have not answered. */
-  List<RouterId> silent() {
-    return new ArrayList<>(silent);
+  /** Returns the routers that have not yet sent a complete reply. */
+  List<RouterId> unanswered() {
+    return new ArrayList<>(unanswered);
   }
 
-  /** Starts over: the registered routers changed. */
+  /** Restarts the recovery because the registered routers changed. */
   void start(RouterId self, List<RouterId> routers, long nowMs) {
     ready = false;
     nonce++;
     startedAtMs = nowMs;
-    silent.clear();
-    silent.addAll(routers);
-    silent.remove(self);
-    heard.clear();
+    unanswered.clear();
+    unanswered.addAll(routers);
+    unanswered.remove(self);
+    recoveredFrom.clear();
     answered.clear();
     answered.add(self);
     restarted.clear();
     newestVersion = completeVersion;
     newestRouters = completeRouters;
     if (!completeVersion.equals(TableVersion.NONE)) {
-      heard.add(self);
+      recoveredFrom.add(self);
     }
   }
 
-  /** Takes the last part of a reply. */
+  /** Processes the last part of a reply. */
   void onReply(IntentPullReply reply) {
-    silent.remove(reply.router());
+    unanswered.remove(reply.router());
     answered.add(reply.router());
     restarted.addAll(reply.restarted());
     if (reply.completeVersion().equals(TableVersion.NONE)) {
       return;
     }
-    heard.add(reply.router());
+    recoveredFrom.add(reply.router());
     if (reply.completeVersion().isNewerThan(newestVersion)) {
       newestVersion = reply.completeVersion();
       newestRouters = reply.completeRouters();
     }
   }
 
-  /** Becomes ready if enough was heard, or if it waited for too long. */
-  void check(TableVersion version, List<RouterId> routers, long limitMs, long nowMs) {
-    if (ready || !(heardEnough() || nowMs - startedAtMs >= limitMs)) {
+  /** Completes the recovery if enough routers replied, or after the timeout. */
+  void check(TableVersion version, List<RouterId> routers, long timeoutMs, long nowMs) {
+    if (ready || !(hasEnoughReplies() || nowMs - startedAtMs >= timeoutMs)) {
       return;
     }
     ready = true;
@@ -100,24 +101,24 @@
     completeRouters = routers;
   }
 
-  /** Keeps the version of completeness up to date while the registered routers stay the same. */
+  /** Advances the version of a complete replica if the registered routers stay the same. */
   void onSameRouters(TableVersion version) {
     if (ready) {
       completeVersion = version;
     }
   }
 
-  private boolean heardEnough() {
+  private boolean hasEnoughReplies() {
     if (newestRouters.isEmpty()) {
-      return silent.isEmpty();
+      return unanswered.isEmpty();
     }
-    int copies = Math.min(IntentCoordinator.COPIES, newestRouters.size());
-    return newestRouters.stream().filter(this::isMissing).count() < copies;
+    int quorum = Math.min(IntentCoordinator.WRITE_QUORUM, newestRouters.size());
+    return newestRouters.stream().filter(this::isMissing).count() < quorum;
   }
 
-  /** Tells whether claims that a router may have granted are not heard of. */
+  /** Returns whether a router may have granted claims that were not recovered. */
   private boolean isMissing(RouterId router) {
     boolean neverGranted = answered.contains(router) && !restarted.contains(router);
-    return !heard.contains(router) && !neverGranted;
+    return !recoveredFrom.contains(router) && !neverGranted;
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentReplica.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentReplica.java
@@ -14,10 +14,10 @@
 import java.util.function.Predicate;
 
 /**
- * What one router remembers of operations that must not run twice.
+ * Stores, on one router, the claims and outcomes of operations that must not be executed twice.
  *
- * <p>An operation is claimed by one request. Its end is remembered for the retention time. A claim
- * whose end is not told in time, or whose router is lost, counts as may have run.
+ * <p>An operation is claimed by one request. Its outcome is kept for the retention time. A claim
+ * whose outcome is not reported in time, or whose router is lost, becomes MAY_HAVE_RUN.
  *
  * <p>Not thread-safe.
  *
@@ -28,14 +28,14 @@
   private final IntentSettings settings;
   private final Map<OperationId, Entry> entries = new HashMap<>();
 
-  /** Entries whose end is not known; few, so that time and lost routers look at these only. */
+  /** Entries without an outcome; few, so scans for expired claims and lost routers are cheap. */
   private final Set<Entry> claimed = new HashSet<>();
 
-  /** Ended entries, those that are forgotten next first. */
+  /** Entries with an outcome, ordered by expiry. */
   private final PriorityQueue<Entry> ended =
       new PriorityQueue<>(Comparator.comparingLong(entry -> entry.untilMs));
 
-  /** One operation. */
+  /** Mutable state of one operation. */
   private static final class Entry {
 
     private OperationId operation;
@@ -46,32 +46,32 @@
   }
 
   /**
-   * Creates a keeper that remembers nothing.
+   * Creates an empty replica.
    *
-   * @param settings limits and times; not null
+   * @param settings limits and timeouts; not null
    */
   public IntentReplica(IntentSettings settings) {
     this.settings = settings;
   }
 
   /**
-   * Returns how many operations are remembered.
+   * Returns how many operations are stored.
    *
-   * @return their number
+   * @return the number of entries
    */
   public int size() {
     return entries.size();
   }
 
   /**
-   * Claims an operation for a request. Claiming again for the same request repeats the grant.
+   * Claims an operation for a request. A repeated claim by the same request is granted again.
    *
    * @param operation the operation; not null
    * @param request the request; not null
-   * @param router the router that has it; not null
-   * @param remainingMs milliseconds until its deadline
+   * @param router the router that handles the request; not null
+   * @param remainingMs milliseconds until the deadline of the request
    * @param nowMs the current time in milliseconds
-   * @return the answer; NOT_READY if the keeper is full
+   * @return the result; NOT_READY if the replica is full
    */
   public IntentAnswer claim(
       OperationId operation, RequestId request, RouterId router, long remainingMs, long nowMs) {
@@ -98,16 +98,16 @@
    *
    * @param operation the operation; not null
    * @param request the request; not null
-   * @param router the router that had it; not null
-   * @param verdict NOT_RUN frees the operation if the request still claims it; not null
+   * @param router the router that handled the request; not null
+   * @param verdict the outcome; NOT_RUN releases the claim if the request still holds it; not null
    * @param nowMs the current time in milliseconds
    */
   public void settle(
       OperationId operation, RequestId request, RouterId router, Verdict verdict, long nowMs) {
     Entry entry = entries.get(operation);
-    boolean own = entry != null && entry.request.equals(request);
+    boolean claimedByRequest = entry != null && entry.request.equals(request);
     if (verdict == Verdict.NOT_RUN) {
-      if (own && entry.state == State.CLAIMED) {
+      if (claimedByRequest && entry.state == State.CLAIMED) {
         entries.remove(operation);
         claimed.remove(entry);
       }
@@ -123,24 +123,24 @@
   }
 
   /**
-   * Takes what another keeper remembers; what says more about a run wins.
+   * Merges an entry of another replica. The entry with the more definite state wins.
    *
-   * @param copy an entry of another keeper; not null
+   * @param copy the entry of the other replica; not null
    * @param nowMs the current time in milliseconds
    */
   public void merge(IntentEntry copy, long nowMs) {
     Entry entry = entries.get(copy.operation());
     long untilMs = nowMs + copy.remainingMs();
-    if (entry == null || strength(copy.state()) > strength(entry.state)) {
-      forget(entry);
+    if (entry == null || rank(copy.state()) > rank(entry.state)) {
+      removeFromIndexes(entry);
       put(copy.operation(), copy.request(), copy.router(), copy.state(), untilMs);
     }
   }
 
   /**
-   * Ends the claims of routers that are lost: nobody will tell how they ended.
+   * Ends the claims of a lost router as MAY_HAVE_RUN, as their outcome will not be reported.
    *
-   * @param router the router; not null
+   * @param router the lost router; not null
    * @param nowMs the current time in milliseconds
    */
   public void onRouterLost(RouterId router, long nowMs) {
@@ -148,7 +148,7 @@
   }
 
   /**
-   * Ends claims past their deadline and forgets ends past the retention time.
+   * Ends claims past their deadline and removes outcomes past the retention time.
    *
    * @param nowMs the current time in milliseconds
    */
@@ -160,7 +160,7 @@
   }
 
   /**
-   * Lists everything that is remembered.
+   * Passes every entry to a visitor.
    *
    * @param nowMs the current time in milliseconds
    * @param visitor receives each entry; not null
@@ -200,7 +200,7 @@
     return entry;
   }
 
-  /** Records an end. An end that becomes certain is remembered as long as it was before. */
+  /** Records an outcome. A later, more definite outcome keeps the expiry of the first. */
   private void end(Entry entry, State state, long nowMs) {
     entry.state = state;
     if (claimed.remove(entry)) {
@@ -209,13 +209,13 @@
     }
   }
 
-  private void forget(Entry entry) {
+  private void removeFromIndexes(Entry entry) {
     if (entry != null && !claimed.remove(entry)) {
       ended.remove(entry);
     }
   }
 
-  private static int strength(State state) {
+  private static int rank(State state) {
     return switch (state) {
       case CLAIMED -> 0;
       case MAY_HAVE_RUN -> 1;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentSink.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentSink.java
@@ -7,34 +7,34 @@
 import io.cuminvalve.core.verdict.Verdict;
 
 /**
- * Receives the effects of an {@link IntentCoordinator}. Calls may come before the call that caused
- * them returns.
+ * Receives the results and messages of an {@link IntentCoordinator}. Methods may be called before
+ * the call that caused them returns.
  *
  * @since 0.1
  */
 public interface IntentSink {
 
   /**
-   * Enough routers know of the operation: it may be sent.
+   * Reports that enough replicas stored the claim: the operation may be sent.
    *
    * @param request the request that claimed it; not null
    */
   void granted(RequestId request);
 
   /**
-   * The operation must not be sent.
+   * Reports that the operation must not be sent.
    *
-   * @param request the request that wanted to claim it; not null
-   * @param earlier whether the operation may have run; never NOT_RUN; not null
-   * @param reason why; not null
-   * @param retryAfterMs when to ask again; milliseconds
+   * @param request the request whose claim was rejected; not null
+   * @param earlier whether the operation was or may have been executed; never NOT_RUN; not null
+   * @param reason the reason; not null
+   * @param retryAfterMs delay before the caller may retry; milliseconds
    */
   void refused(RequestId request, Verdict earlier, RefusalReason reason, long retryAfterMs);
 
   /**
-   * Send a message to another router; loss is tolerated.
+   * Sends a message to another router; it may be lost.
    *
-   * @param to the receiver; not null
+   * @param to the receiving router; not null
    * @param message the message; not null
    */
   void send(RouterId to, PeerMessage message);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/inventory/GrantCapability.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/inventory/GrantCapability.java
@@ -1,17 +1,17 @@
 package io.cuminvalve.core.inventory;
 
 /**
- * What the targets of a service check about the orders they receive.
+ * The checks that the targets of a service apply to the grants they receive.
  *
- * <p>The capability decides which proof is enough before a shard may get another owner.
+ * <p>It determines which proof is required before a shard may be given to another owner.
  *
  * @since 0.1
  */
 public enum GrantCapability {
-  /** Refuses lower fencing tokens and stops serving when the grant expires on its own clock. */
+  /** Rejects lower fencing tokens, and stops serving when the grant expires on its own clock. */
   CHECKS_TOKEN_AND_EXPIRY,
-  /** Refuses lower fencing tokens but never stops by itself. */
+  /** Rejects lower fencing tokens, but does not stop serving when the grant expires. */
   CHECKS_TOKEN,
-  /** Obeys any order from anyone. */
+  /** Accepts every order, whatever its sender or token. */
   CHECKS_NOTHING
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/inventory/Inventory.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/inventory/Inventory.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * Everything that an operator's asset register exports.
+ * The data centres, services and instances exported from an operator's asset register.
  *
  * @param dataCentres all data centres; not null, copied
  * @param services all services; not null, copied
@@ -33,10 +33,10 @@
   }
 
   /**
-   * Finds a service.
+   * Finds a service by its identifier.
    *
    * @param id the identifier; not null
-   * @return the service, or empty if there is none
+   * @return the service, or empty if it does not exist
    */
   public Optional<Service> service(ServiceId id) {
     return services.stream().filter(service -> service.id().equals(id)).findFirst();
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/inventory/PlacementObjective.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/inventory/PlacementObjective.java
@@ -1,13 +1,13 @@
 package io.cuminvalve.core.inventory;
 
 /**
- * What the planner weighs most for a service.
+ * The main objective of the placement of a service.
  *
  * @since 0.1
  */
 public enum PlacementObjective {
-  /** Keep keys served: move early, keep spread, accept more moves. */
+  /** Minimises the time without service: moves early, keeps load spread, accepts more moves. */
   UNAVAILABLE_TIME_FIRST,
-  /** Keep keys where they are: move late and little. */
+  /** Minimises moves: moves late and few shards. */
   CHURN_FIRST
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/inventory/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/inventory/package-info.java
@@ -1,2 +1,2 @@
-/** What operators export: data centres, services, instances and their capacity. */
+/** The inventory exported by operators: data centres, services, instances and their capacity. */
 package io.cuminvalve.core.inventory;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/table/KeyHasher.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/table/KeyHasher.java
@@ -6,7 +6,7 @@
 /**
  * Maps keys to shards.
  *
- * <p>The seed is part of the on-store format: changing it would move every key.
+ * <p>The seed is part of the stored format: changing it would map every key to another shard.
  *
  * @since 0.1
  */
@@ -22,8 +22,8 @@
    * Returns the shard of a key.
    *
    * @param key the key; not null
-   * @param shardCount a power of two
-   * @return from 0 to {@code shardCount} - 1
+   * @param shardCount the number of shards; a power of two
+   * @return the shard, from 0 to {@code shardCount} - 1
    */
   public static int shardOf(CharSequence key, int shardCount) {
     return (int) hash(key) & (shardCount - 1);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/table/RegisteredRouter.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/table/RegisteredRouter.java
@@ -4,11 +4,12 @@
 import io.cuminvalve.core.id.RouterId;
 
 /**
- * A router that the table names, so that closing a version waits for it.
+ * A router that is registered in the table, so that closing a version waits for it.
  *
  * @param id its identifier; not null
- * @param dataCentre where it runs; not null
- * @param peerAddress IP address and port for our own processes; not null
+ * @param dataCentre the data centre it runs in; not null
+ * @param peerAddress its IP address and port for connections of other routers and controllers; not
+ *     null
  * @param witness whether it confirms route leases
  * @since 0.1
  */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/table/ShardTable.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/table/ShardTable.java
@@ -20,7 +20,7 @@
  */
 public final class ShardTable {
 
-  /** The index that stands for no target. */
+  /** The index that means that there is no target. */
   public static final int NO_TARGET = -1;
 
   private final CellId cell;
@@ -39,15 +39,16 @@
    *
    * @param cell the cell; not null
    * @param version its version; not null
-   * @param configRevision the configuration it was planned under
+   * @param configRevision the revision of the configuration it was planned with
    * @param routers the registered routers; not null
-   * @param previousWitnesses the witnesses of an earlier version that is not yet proved closed;
-   *     empty if the witnesses did not change; not null
-   * @param targets the targets that the indexes refer to; not null
-   * @param owners owner per shard; not null
-   * @param standbys standby per shard; not null, same length
-   * @param previousOwners previous owner per moving shard, else NO_TARGET; not null, same length
-   * @param tokens fencing token per shard; not null, same length
+   * @param previousWitnesses the witnesses of an earlier version that is not yet proven to be
+   *     closed; empty if the witnesses did not change; not null
+   * @param targets the targets that indexes refer to; not null
+   * @param owners the owner of each shard; not null
+   * @param standbys the standby of each shard; not null, same length
+   * @param previousOwners the previous owner of each moving shard, else NO_TARGET; not null, same
+   *     length
+   * @param tokens the fencing token of each shard; not null, same length
    */
   public ShardTable(
       CellId cell,
@@ -73,7 +74,8 @@
     if (standbys.length != owners.length
         || previousOwners.length != owners.length
         || tokens.length != owners.length) {
-      throw new CodedException(ErrorCode.INVALID_INPUT, "arrays of a shard table differ in length");
+      throw new CodedException(
+          ErrorCode.INVALID_INPUT, "the arrays of a shard table differ in length");
     }
   }
 
@@ -81,8 +83,8 @@
    * Returns the table of a cell before the first write: no routers, and no shard has an owner.
    *
    * @param cell the cell; not null
-   * @param shardCount how many shards the cell has
-   * @param configRevision the configuration it is planned under
+   * @param shardCount the number of shards of the cell
+   * @param configRevision the revision of the configuration it is planned with
    * @return never null, version {@link TableVersion#NONE}
    */
   public static ShardTable unassigned(CellId cell, int shardCount, long configRevision) {
@@ -120,7 +122,7 @@
   }
 
   /**
-   * Returns the revision of the configuration that the table was planned under.
+   * Returns the revision of the configuration that the table was planned with.
    *
    * @return the revision
    */
@@ -138,7 +140,7 @@
   }
 
   /**
-   * Returns the witnesses of an earlier version that is not yet proved closed.
+   * Returns the witnesses of an earlier version that is not yet proven to be closed.
    *
    * @return immutable, empty if the witnesses did not change
    */
@@ -194,10 +196,10 @@
   }
 
   /**
-   * Returns the owner that a moving shard comes from.
+   * Returns the previous owner of a moving shard.
    *
    * @param shard from 0 to {@link #shardCount()} - 1
-   * @return an index into {@link #targets()} or {@link #NO_TARGET} if the shard is settled
+   * @return an index into {@link #targets()} or {@link #NO_TARGET} if the shard is not moving
    */
   public int previousOwner(int shard) {
     return previousOwners[shard];
@@ -214,10 +216,10 @@
   }
 
   /**
-   * Tells whether a shard is on its way to its owner.
+   * Returns whether a shard is moving to its owner.
    *
    * @param shard from 0 to {@link #shardCount()} - 1
-   * @return true until the holder of the term records the move as finished
+   * @return true until the term holder records the end of the move
    */
   public boolean isMoving(int shard) {
     return previousOwners[shard] != NO_TARGET;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/table/TableVersion.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/table/TableVersion.java
@@ -1,10 +1,10 @@
 package io.cuminvalve.core.table;
 
 /**
- * Orders the versions of one cell's shard table.
+ * A version of the shard table of one cell.
  *
  * <p>A version written to the store has activation 0. Activations count the standby takeovers that
- * a holder of the term orders while the store is out.
+ * the term holder orders while the store is unavailable.
  *
  * @param term the term of the holder that issued it
  * @param sequence the number of the write within the term
@@ -14,7 +14,7 @@
 public record TableVersion(long term, long sequence, long activation)
     implements Comparable<TableVersion> {
 
-  /** The version before the first. */
+  /** The version of a table that was never written. */
   public static final TableVersion NONE = new TableVersion(0, 0, 0);
 
   /**
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Tells whether this version is newer than another.
+   * Returns whether this version is newer than another.
    *
    * @param other the other version; not null
    * @return true if this one is strictly newer
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/table/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/table/package-info.java
@@ -1,2 +1,2 @@
-/** The shard table: who owns which shard under which version and fencing token. */
+/** The shard table: the owner, standby and fencing token of each shard, by version. */
 package io.cuminvalve.core.table;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/HotSpotTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/HotSpotTest.java
@@ -11,47 +11,48 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many neighbouring keys turn hot together and stay so for a few seconds, in a wide service.
+ * Guards against slow spreading of a hot spot in a large service: many neighbouring keys that
+ * belong to one or two targets become hot together for a few seconds.
  *
- * <p>Pattern: on an ordinary second 201 targets of 4 slots are two thirds busy; then 60
- * neighbouring keys get 44% of all requests, or 200 get 33%, for 4 to 5 s. One or two targets own
- * them all. What counts is how much of the load the targets' slots can carry over that time; keys
- * on the move carry none for one look at the load.
+ * <p>Under ordinary load, 201 targets of 4 slots are two thirds busy. Then 60 neighbouring keys
+ * receive 44% of all requests, or 200 keys receive 33%, for 4 to 5 s. The test measures which share
+ * of the load the slots serve over that time. Keys that are moving serve nothing for one round.
  */
 class HotSpotTest {
 
   private static final int TARGETS = 201;
   private static final int SLOTS = 4;
   private static final double BUSY_SLOTS = 537;
-  private static final double MEMORY_MS = 2_000;
+  private static final double TIME_CONSTANT_MS = 2_000;
 
-  /** Looks at the load in 4 s. */
-  private static final int LOOKS = 16;
+  /** Balancing rounds in 4 s. */
+  private static final int ROUNDS = 16;
 
-  private static final BalancerSettings HALVING =
+  private static final BalancerSettings HALVING_SETTINGS =
       new BalancerSettings(1.3, 0.45, 0.2, 0.4, 1.1, 1_000, KeyRange.KEY_COUNT / 16);
 
-  /** Decides the moves of one look. */
+  /** Plans the moves of one round. */
   private interface Policy {
-    List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, RelativeLatencies speeds);
+    List<RangeMove> plan(List<TargetLoad> targets, KeyLoads loads, RelativeLatencies latencies);
   }
 
   @Test
   void sixtyHotKeysAreSpreadWithinSeconds() {
-    assertThat(carried(60, 0.44, planner())).isAtLeast(0.9);
+    assertThat(servedShare(60, 0.44, planner())).isAtLeast(0.9);
   }
 
   @Test
   void twoHundredHotKeysAreSpreadWithinSeconds() {
-    assertThat(carried(200, 0.33, planner())).isAtLeast(0.9);
+    assertThat(servedShare(200, 0.33, planner())).isAtLeast(0.9);
   }
 
-  /** What the load is like for a policy whose moves do not grow with the service. */
+  /** Compares with a policy whose number of moves does not grow with the service. */
   @Test
-  void tenMovesAndHalvesCarryFarLess() {
-    Policy former = new FixedMoveLimitPolicy();
-    assertThat(carried(60, 0.44, former)).isLessThan(carried(60, 0.44, planner()) - 0.3);
-    assertThat(carried(200, 0.33, former)).isLessThan(carried(200, 0.33, planner()) - 0.015);
+  void fixedMoveLimitAndHalvingServeFarLess() {
+    Policy baseline = new FixedMoveLimitPolicy();
+    assertThat(servedShare(60, 0.44, baseline)).isLessThan(servedShare(60, 0.44, planner()) - 0.3);
+    assertThat(servedShare(200, 0.33, baseline))
+        .isLessThan(servedShare(200, 0.33, planner()) - 0.015);
   }
 
   private static Policy planner() {
@@ -59,64 +60,66 @@
         ::plan;
   }
 
-  /** One hot key at a time, and other moves only when there is none. */
+  /** Moves one hot key at a time, and other keys, at most ten moves, only if there is none. */
   private static final class FixedMoveLimitPolicy implements Policy {
 
     private final HotKeyPlacement hotKeys = new HotKeyPlacement();
-    private final RangeBalancer balancer = new RangeBalancer(HALVING);
+    private final RangeBalancer balancer = new RangeBalancer(HALVING_SETTINGS);
 
     @Override
     public List<RangeMove> plan(
-        List<TargetLoad> targets, KeyLoads loads, RelativeLatencies speeds) {
-      List<RangeMove> moves = hotKeys.plan(targets, loads, speeds, 1);
+        List<TargetLoad> targets, KeyLoads loads, RelativeLatencies latencies) {
+      List<RangeMove> moves = hotKeys.plan(targets, loads, latencies, 1);
       return moves.isEmpty() ? balancer.plan(targets, loads, 10) : moves;
     }
   }
 
-  /** Returns the share of all load that the slots carry, over all looks. */
-  private static double carried(int hotKeys, double share, Policy policy) {
-    KeyLoads loads = new KeyLoads(MEMORY_MS, 0);
+  /** Returns the share of the total load that the slots serve over all rounds. */
+  private static double servedShare(int hotKeys, double share, Policy policy) {
+    KeyLoads loads = new KeyLoads(TIME_CONSTANT_MS, 0);
     for (int key = 0; key < KeyRange.KEY_COUNT; key++) {
-      loads.add(key, BUSY_SLOTS * (1 - share) / KeyRange.KEY_COUNT * MEMORY_MS);
+      loads.add(key, BUSY_SLOTS * (1 - share) / KeyRange.KEY_COUNT * TIME_CONSTANT_MS);
     }
     int first = 20_000;
     for (int key = first; key < first + hotKeys; key++) {
-      loads.add(key, BUSY_SLOTS * share / hotKeys * MEMORY_MS);
+      loads.add(key, BUSY_SLOTS * share / hotKeys * TIME_CONSTANT_MS);
     }
-    RelativeLatencies speeds = new RelativeLatencies();
-    Map<TargetId, TargetLoad> targets = evenTargets(speeds);
-    double carried = 0;
-    for (int look = 0; look < LOOKS; look++) {
-      targets.replaceAll((id, target) -> settled(target));
-      List<RangeMove> moves = policy.plan(List.copyOf(targets.values()), loads, speeds);
-      moves.forEach(move -> carryOut(move, targets));
+    RelativeLatencies latencies = new RelativeLatencies();
+    Map<TargetId, TargetLoad> targets = evenTargets(latencies);
+    double served = 0;
+    for (int round = 0; round < ROUNDS; round++) {
+      targets.replaceAll((id, target) -> completeMoves(target));
+      List<RangeMove> moves = policy.plan(List.copyOf(targets.values()), loads, latencies);
+      moves.forEach(move -> startMove(move, targets));
       for (TargetLoad target : targets.values()) {
-        carried += Math.min(SLOTS, loadOf(target.ranges(), loads));
+        served += Math.min(SLOTS, loadOf(target.ranges(), loads));
       }
     }
-    return carried / (LOOKS * BUSY_SLOTS);
+    return served / (ROUNDS * BUSY_SLOTS);
   }
 
-  /** Every third target is half as fast again, every third half as fast. */
-  private static Map<TargetId, TargetLoad> evenTargets(RelativeLatencies speeds) {
+  /**
+   * Targets with even key shares; a third of them have 0.67, a third 1.5 times the mean latency.
+   */
+  private static Map<TargetId, TargetLoad> evenTargets(RelativeLatencies latencies) {
     Map<TargetId, TargetLoad> targets = new LinkedHashMap<>();
     for (int i = 0; i < TARGETS; i++) {
       TargetId id = new TargetId("t" + i);
       int first = KeyRange.KEY_COUNT * i / TARGETS;
       int last = KeyRange.KEY_COUNT * (i + 1) / TARGETS - 1;
       targets.put(id, new TargetLoad(id, SLOTS, List.of(new KeyRange(first, last)), List.of()));
-      speeds.onAnswers(id, new double[] {0.67, 1, 1.5}[i % 3], 1_000_000);
+      latencies.onAnswers(id, new double[] {0.67, 1, 1.5}[i % 3], 1_000_000);
     }
     return targets;
   }
 
-  private static TargetLoad settled(TargetLoad target) {
+  private static TargetLoad completeMoves(TargetLoad target) {
     List<KeyRange> ranges = new ArrayList<>(target.ranges());
     ranges.addAll(target.otherRanges());
     return new TargetLoad(target.id(), target.slots(), ranges, List.of());
   }
 
-  private static void carryOut(RangeMove move, Map<TargetId, TargetLoad> targets) {
+  private static void startMove(RangeMove move, Map<TargetId, TargetLoad> targets) {
     TargetLoad from = targets.get(move.from());
     List<KeyRange> left = new ArrayList<>();
     from.ranges().forEach(range -> left.addAll(range.without(move.keys())));
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/RangeBalancerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/RangeBalancerTest.java
@@ -12,9 +12,9 @@
   private static final TargetId A = new TargetId("a");
   private static final TargetId B = new TargetId("b");
   private static final TargetId C = new TargetId("c");
-  private static final double MEMORY_MS = 1_000;
+  private static final double TIME_CONSTANT_MS = 1_000;
 
-  private final KeyLoads loads = new KeyLoads(MEMORY_MS, 0);
+  private final KeyLoads loads = new KeyLoads(TIME_CONSTANT_MS, 0);
   private final RangeBalancer balancer = new RangeBalancer(BalancerSettings.DEFAULT);
   private final TargetLoad first = target(A, new KeyRange(0, 9_999));
   private final TargetLoad second = target(B, new KeyRange(10_000, 19_999));
@@ -22,16 +22,16 @@
 
   @Test
   void evenLoadIsLeftAlone() {
-    busy(100, 2.0);
-    busy(10_100, 2.0);
-    busy(20_100, 2.0);
+    addLoad(100, 2.0);
+    addLoad(10_100, 2.0);
+    addLoad(20_100, 2.0);
     assertThat(balancer.plan(List.of(first, second, third), loads, 10)).isEmpty();
   }
 
   @Test
   void theBusyTargetGivesToSeveralAtOnce() {
     for (int key = 5_000; key < 5_040; key++) {
-      busy(key, 0.1);
+      addLoad(key, 0.1);
     }
     List<RangeMove> moves = balancer.plan(List.of(first, second, third), loads, 10);
     assertThat(moves.stream().map(RangeMove::to).toList()).containsAtLeast(B, C);
@@ -47,7 +47,7 @@
   @Test
   void movesOfOnePlanDoNotOverlap() {
     for (int key = 0; key < 10_000; key += 50) {
-      busy(key, 0.04);
+      addLoad(key, 0.04);
     }
     List<RangeMove> moves = balancer.plan(List.of(first, second, third), loads, 10);
     assertThat(moves.size()).isAtLeast(2);
@@ -61,9 +61,9 @@
   }
 
   @Test
-  void rangesOnTheMoveCountAndStay() {
+  void movingRangesCountAsLoadAndStay() {
     for (int key = 5_000; key < 5_040; key++) {
-      busy(key, 0.1);
+      addLoad(key, 0.1);
     }
     TargetLoad moving = new TargetLoad(A, 4, List.of(), first.ranges());
     assertThat(balancer.plan(List.of(moving, second, third), loads, 10)).isEmpty();
@@ -72,7 +72,7 @@
   @Test
   void theTargetThatWaitsForKeysStillGivesHotOnes() {
     for (int key = 5_000; key < 5_040; key++) {
-      busy(key, 0.1);
+      addLoad(key, 0.1);
     }
     TargetLoad waiting =
         new TargetLoad(A, 4, first.ranges(), List.of(new KeyRange(30_000, 30_100)));
@@ -96,20 +96,20 @@
 
   @Test
   void theHotKeyGoesToTheMuchFasterTarget() {
-    busy(77, 3.0);
-    RelativeLatencies speeds = new RelativeLatencies();
-    speeds.onAnswers(B, 0.4, 1_000);
+    addLoad(77, 3.0);
+    RelativeLatencies latencies = new RelativeLatencies();
+    latencies.onAnswers(B, 0.4, 1_000);
     List<RangeMove> moves =
-        new HotKeyPlacement().plan(List.of(first, second, third), loads, speeds, 10);
+        new HotKeyPlacement().plan(List.of(first, second, third), loads, latencies, 10);
     assertThat(moves).containsExactly(new RangeMove(new KeyRange(77, 77), A, B));
   }
 
   @Test
   void theHotKeyAtTheFastestTargetStays() {
-    busy(77, 3.0);
-    RelativeLatencies speeds = new RelativeLatencies();
-    speeds.onAnswers(A, 0.4, 1_000);
-    assertThat(new HotKeyPlacement().plan(List.of(first, second, third), loads, speeds, 10))
+    addLoad(77, 3.0);
+    RelativeLatencies latencies = new RelativeLatencies();
+    latencies.onAnswers(A, 0.4, 1_000);
+    assertThat(new HotKeyPlacement().plan(List.of(first, second, third), loads, latencies, 10))
         .isEmpty();
   }
 
@@ -123,22 +123,22 @@
 
   @Test
   void theHotFragmentStays() {
-    busy(550, 1.0);
+    addLoad(550, 1.0);
     TargetLoad left = target(A, new KeyRange(0, 5_000), new KeyRange(5_100, 30_000));
     TargetLoad right = target(B, new KeyRange(5_001, 5_099), new KeyRange(30_001, 65_535));
-    busy(5_050, 1.0);
+    addLoad(5_050, 1.0);
     assertThat(new RangeDefragmenter().plan(List.of(left, right), loads, 10)).isEmpty();
   }
 
   @Test
-  void oldLoadFades() {
-    busy(1, 2.0);
+  void oldLoadDecays() {
+    addLoad(1, 2.0);
     loads.decay(5_000);
     assertThat(loads.of(1)).isLessThan(0.1);
   }
 
-  private void busy(int key, double slots) {
-    loads.add(key, slots * MEMORY_MS);
+  private void addLoad(int key, double slots) {
+    loads.add(key, slots * TIME_CONSTANT_MS);
   }
 
   private static TargetLoad target(TargetId id, KeyRange... ranges) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/RangeDefragmenterTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/balance/RangeDefragmenterTest.java
@@ -14,13 +14,13 @@
   private static final TargetId B = new TargetId("b");
 
   private final KeyLoads loads = new KeyLoads(1_000, 0);
-  private final RangeDefragmenter tidier = new RangeDefragmenter();
+  private final RangeDefragmenter defragmenter = new RangeDefragmenter();
 
   @Test
   void coldFragmentsGoBackToTheirNeighbour() {
     TargetLoad a = load(A, new KeyRange(0, 4_999), new KeyRange(5_100, 30_000));
     TargetLoad b = load(B, new KeyRange(5_000, 5_099), new KeyRange(30_001, 65_535));
-    assertThat(tidier.plan(List.of(a, b), loads, 10))
+    assertThat(defragmenter.plan(List.of(a, b), loads, 10))
         .containsExactly(new RangeMove(new KeyRange(5_000, 5_099), B, A));
   }
 
@@ -29,11 +29,11 @@
     loads.add(5_050, 900);
     TargetLoad a = load(A, new KeyRange(0, 4_999), new KeyRange(5_100, 30_000));
     TargetLoad b = load(B, new KeyRange(5_000, 5_099), new KeyRange(30_001, 65_535));
-    assertThat(tidier.plan(List.of(a, b), loads, 10)).isEmpty();
+    assertThat(defragmenter.plan(List.of(a, b), loads, 10)).isEmpty();
   }
 
   @Test
-  void evenSharesOfWideFleetsAreNoFragments() {
+  void evenSharesOfLargeServicesAreNoFragments() {
     List<TargetLoad> targets = new ArrayList<>();
     int keys = KeyRange.KEY_COUNT / 256;
     for (int i = 0; i < 128; i++) {
@@ -42,14 +42,14 @@
       KeyRange high = new KeyRange(first + keys, first + 2 * keys - 1);
       targets.add(load(new TargetId("t" + i), low, high));
     }
-    assertThat(tidier.plan(targets, loads, 10)).isEmpty();
+    assertThat(defragmenter.plan(targets, loads, 10)).isEmpty();
   }
 
   @Test
   void onlyRangesOfTheirTargetStay() {
     TargetLoad a = load(A, new KeyRange(0, 4_999), new KeyRange(5_100, 65_535));
     TargetLoad b = load(B, new KeyRange(5_000, 5_099));
-    assertThat(tidier.plan(List.of(a, b), loads, 10)).isEmpty();
+    assertThat(defragmenter.plan(List.of(a, b), loads, 10)).isEmpty();
   }
 
   private static TargetLoad load(TargetId id, KeyRange... ranges) {
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/intent/IntentInterleavingsTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/intent/IntentInterleavingsTest.java
@@ -27,9 +27,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Generated interleavings of several desks with resends through any router: no operation is sent
- * twice, and what is said of it is true. Messages are delayed, links break, one router at a time is
- * lost, restarted or replaced.
+ * Runs random interleavings of several coordinators, with retries through any router, and checks
+ * that no operation is sent twice and that every reported verdict is true. Messages are delayed or
+ * dropped, and one router at a time is lost, restarted or replaced.
  */
 class IntentInterleavingsTest {
 
@@ -37,14 +37,14 @@
   private static final int ROUTERS = 5;
   private static final int STEPS = 6_000;
   private static final int OPERATIONS = 60;
-  private static final long LONGEST_DELAY_MS = 30;
+  private static final long MAX_DELAY_MS = 30;
   private static final long TIMEOUT_MS = 400;
-  private static final long CALM_MS = 250;
-  private static final long STARTED_MS = 1_500;
+  private static final long MIN_FAULT_INTERVAL_MS = 250;
+  private static final long STARTUP_MS = 1_500;
 
   private Random random;
   private long nowMs;
-  private long counter = 1;
+  private long nextNumber = 1;
   private long lastFaultMs;
   private TableVersion version = new TableVersion(1, 1, 0);
   private List<RegisteredRouter> routers = new ArrayList<>();
@@ -56,24 +56,24 @@
   private final Set<OperationId> everSent = new HashSet<>();
   private int refusals;
 
-  /** A message on its way. */
+  /** A message in transit. */
   private record Sent(PeerMessage message, long sentAtMs) {}
 
-  /** A request at a run of a router. */
+  /** A request handled by one incarnation of a router. */
   private record Call(Node node, OperationId operation, RequestId request) {}
 
-  /** A run of a router; receives the effects of its desk. */
+  /** One incarnation of a router; receives the results and messages of its coordinator. */
   private final class Node implements IntentSink {
 
     private final RouterId id;
-    private final IntentCoordinator desk;
+    private final IntentCoordinator coordinator;
     private TableVersion installed = TableVersion.NONE;
     private boolean lost;
 
     Node(RouterId id) {
       this.id = id;
-      Incarnation run = new Incarnation(counter++);
-      this.desk = new IntentCoordinator(CELL, id, run, IntentSettings.DEFAULT, this);
+      Incarnation incarnation = new Incarnation(nextNumber++);
+      this.coordinator = new IntentCoordinator(CELL, id, incarnation, IntentSettings.DEFAULT, this);
     }
 
     @Override
@@ -113,7 +113,7 @@
       addRouter("r" + i);
     }
     for (int step = 0; step < STEPS; step++) {
-      act(step);
+      performRandomAction(step);
     }
     for (int i = 0; i < 1_000 && !waiting.isEmpty(); i++) {
       advance(5);
@@ -123,33 +123,36 @@
     assertWithMessage("resends are refused").that(refusals).isGreaterThan(OPERATIONS);
   }
 
-  private void act(int step) {
-    int dice = random.nextInt(100);
-    if (dice < 20) {
+  private void performRandomAction(int step) {
+    int choice = random.nextInt(100);
+    if (choice < 20) {
       claim();
-    } else if (dice < 70) {
+    } else if (choice < 70) {
       advance(random.nextInt(6));
-    } else if (dice < 80) {
+    } else if (choice < 80) {
       settle();
-    } else if (dice < 81) {
-      breakLink();
+    } else if (choice < 81) {
+      dropMessagesOfLink();
     } else {
       deliverOne();
     }
     if (step % 200 == 199
-        && nowMs >= STARTED_MS
-        && nowMs - lastFaultMs > CALM_MS
-        && allCaughtUp()) {
+        && nowMs >= STARTUP_MS
+        && nowMs - lastFaultMs > MIN_FAULT_INTERVAL_MS
+        && allRecovered()) {
       lastFaultMs = nowMs;
-      fault();
+      injectFault();
     }
   }
 
-  /** One fault at a time: what both keepers lost at once forget is not claimed to be kept. */
-  private void fault() {
+  /**
+   * Injects one fault at a time: the loss of two replicas at once may lose claims, which is outside
+   * the guarantee.
+   */
+  private void injectFault() {
     List<Node> alive = alive();
     if (alive.size() < ROUTERS) {
-      addRouter("r" + counter);
+      addRouter("r" + nextNumber);
       return;
     }
     Node victim = alive.get(random.nextInt(alive.size()));
@@ -166,8 +169,9 @@
     }
   }
 
-  private boolean allCaughtUp() {
-    return alive().stream().allMatch(node -> node.installed.equals(version) && node.desk.isReady());
+  private boolean allRecovered() {
+    return alive().stream()
+        .allMatch(node -> node.installed.equals(version) && node.coordinator.isReady());
   }
 
   private void addRouter(String name) {
@@ -183,9 +187,9 @@
     int number = Math.min(OPERATIONS - 1, random.nextInt(OPERATIONS * 2));
     IdempotencyKey key = new IdempotencyKey("pay-" + number);
     OperationId operation = new OperationId(new TenantId("t"), key);
-    RequestId request = new RequestId("req-" + counter++);
+    RequestId request = new RequestId("req-" + nextNumber++);
     waiting.put(request, new Call(node, operation, request));
-    node.desk.claim(operation, request, nowMs + TIMEOUT_MS, nowMs);
+    node.coordinator.claim(operation, request, nowMs + TIMEOUT_MS, nowMs);
   }
 
   private void settle() {
@@ -198,10 +202,10 @@
     if (verdict == Verdict.NOT_RUN) {
       ran.remove(call.operation());
     }
-    call.node().desk.settle(call.operation(), call.request(), verdict, nowMs);
+    call.node().coordinator.settle(call.operation(), call.request(), verdict, nowMs);
   }
 
-  private void breakLink() {
+  private void dropMessagesOfLink() {
     if (!links.isEmpty()) {
       List<List<RouterId>> all = new ArrayList<>(links.keySet());
       links.get(all.get(random.nextInt(all.size()))).clear();
@@ -213,26 +217,26 @@
     for (Node node : alive()) {
       if (!node.installed.equals(version) && random.nextInt(8) == 0) {
         node.installed = version;
-        node.desk.onTable(version, routers, nowMs);
+        node.coordinator.onTable(version, routers, nowMs);
       }
     }
     for (List<RouterId> link : List.copyOf(links.keySet())) {
       Deque<Sent> queue = links.get(link);
-      while (!queue.isEmpty() && nowMs - queue.peek().sentAtMs() > LONGEST_DELAY_MS) {
+      while (!queue.isEmpty() && nowMs - queue.peek().sentAtMs() > MAX_DELAY_MS) {
         deliver(link, queue.poll());
       }
     }
-    alive().forEach(node -> node.desk.tick(nowMs));
-    if (lastFaultMs == 0 && nowMs >= STARTED_MS) {
-      assertWithMessage("fresh routers have caught up").that(allCaughtUp()).isTrue();
+    alive().forEach(node -> node.coordinator.tick(nowMs));
+    if (lastFaultMs == 0 && nowMs >= STARTUP_MS) {
+      assertWithMessage("new routers have completed their recovery").that(allRecovered()).isTrue();
     }
   }
 
   private void deliverOne() {
-    List<List<RouterId>> full =
+    List<List<RouterId>> pending =
         links.keySet().stream().filter(link -> !links.get(link).isEmpty()).toList();
-    if (!full.isEmpty()) {
-      List<RouterId> link = full.get(random.nextInt(full.size()));
+    if (!pending.isEmpty()) {
+      List<RouterId> link = pending.get(random.nextInt(pending.size()));
       deliver(link, links.get(link).poll());
     }
   }
@@ -240,7 +244,7 @@
   private void deliver(List<RouterId> link, Sent sent) {
     Node receiver = nodes.get(link.get(1));
     if (receiver != null && !receiver.lost) {
-      receiver.desk.onMessage(sent.message(), link.get(0), nowMs);
+      receiver.coordinator.onMessage(sent.message(), link.get(0), nowMs);
     }
   }
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/intent/IntentReplicaTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/intent/IntentReplicaTest.java
@@ -18,7 +18,7 @@
   private static final RequestId SECOND = new RequestId("second");
   private static final RouterId ROUTER = new RouterId("r1");
 
-  private final IntentReplica keeper =
+  private final IntentReplica replica =
       new IntentReplica(new IntentSettings(10_000, 100, 300, 1, 2));
 
   @Test
@@ -31,16 +31,16 @@
   @Test
   void resendAfterEachEnd() {
     claim(FIRST, 0);
-    keeper.settle(OPERATION, FIRST, ROUTER, Verdict.NOT_RUN, 10);
+    replica.settle(OPERATION, FIRST, ROUTER, Verdict.NOT_RUN, 10);
     assertThat(claim(SECOND, 20)).isEqualTo(IntentAnswer.GRANTED);
-    keeper.settle(OPERATION, FIRST, ROUTER, Verdict.NOT_RUN, 30);
+    replica.settle(OPERATION, FIRST, ROUTER, Verdict.NOT_RUN, 30);
     assertThat(claim(FIRST, 40)).isEqualTo(IntentAnswer.IN_FLIGHT);
-    keeper.settle(OPERATION, SECOND, ROUTER, Verdict.MAY_HAVE_RUN, 50);
+    replica.settle(OPERATION, SECOND, ROUTER, Verdict.MAY_HAVE_RUN, 50);
     assertThat(claim(FIRST, 60)).isEqualTo(IntentAnswer.MAY_HAVE_RUN);
-    keeper.settle(OPERATION, SECOND, ROUTER, Verdict.RAN, 70);
+    replica.settle(OPERATION, SECOND, ROUTER, Verdict.RAN, 70);
     assertThat(claim(FIRST, 80)).isEqualTo(IntentAnswer.RAN);
-    keeper.settle(OPERATION, SECOND, ROUTER, Verdict.MAY_HAVE_RUN, 90);
-    keeper.settle(OPERATION, SECOND, ROUTER, Verdict.NOT_RUN, 90);
+    replica.settle(OPERATION, SECOND, ROUTER, Verdict.MAY_HAVE_RUN, 90);
+    replica.settle(OPERATION, SECOND, ROUTER, Verdict.NOT_RUN, 90);
     assertThat(claim(FIRST, 100)).isEqualTo(IntentAnswer.RAN);
   }
 
@@ -54,27 +54,27 @@
   @Test
   void claimOfLostRouterMayHaveRun() {
     claim(FIRST, 0);
-    keeper.onRouterLost(new RouterId("other"), 1);
+    replica.onRouterLost(new RouterId("other"), 1);
     assertThat(claim(SECOND, 2)).isEqualTo(IntentAnswer.IN_FLIGHT);
-    keeper.onRouterLost(ROUTER, 3);
+    replica.onRouterLost(ROUTER, 3);
     assertThat(claim(SECOND, 4)).isEqualTo(IntentAnswer.MAY_HAVE_RUN);
   }
 
   @Test
   void forgetsOnlyAfterTheRetentionTime() {
     claim(FIRST, 0);
-    keeper.settle(OPERATION, FIRST, ROUTER, Verdict.RAN, 500);
-    keeper.tick(10_499);
+    replica.settle(OPERATION, FIRST, ROUTER, Verdict.RAN, 500);
+    replica.tick(10_499);
     assertThat(claim(SECOND, 10_499)).isEqualTo(IntentAnswer.RAN);
-    keeper.tick(10_500);
+    replica.tick(10_500);
     assertThat(claim(SECOND, 10_500)).isEqualTo(IntentAnswer.GRANTED);
   }
 
   @Test
-  void fullKeeperRefusesRatherThanForgets() {
+  void fullReplicaRejectsClaimsAndEvictsNothing() {
     claim(FIRST, 0);
-    keeper.claim(operation("t2"), SECOND, ROUTER, 1_000, 0);
-    assertThat(keeper.claim(operation("t3"), SECOND, ROUTER, 1_000, 0))
+    replica.claim(operation("t2"), SECOND, ROUTER, 1_000, 0);
+    assertThat(replica.claim(operation("t3"), SECOND, ROUTER, 1_000, 0))
         .isEqualTo(IntentAnswer.NOT_READY);
     assertThat(claim(SECOND, 0)).isEqualTo(IntentAnswer.IN_FLIGHT);
   }
@@ -82,20 +82,20 @@
   @Test
   void sameKeyOfAnotherTenantIsAnotherOperation() {
     claim(FIRST, 0);
-    assertThat(keeper.claim(operation("t2"), SECOND, ROUTER, 1_000, 0))
+    assertThat(replica.claim(operation("t2"), SECOND, ROUTER, 1_000, 0))
         .isEqualTo(IntentAnswer.GRANTED);
   }
 
   @Test
-  void copiesNeverWeakenWhatIsKnown() {
+  void mergeKeepsTheMoreDefiniteState() {
     claim(FIRST, 0);
-    keeper.settle(OPERATION, FIRST, ROUTER, Verdict.RAN, 10);
-    keeper.merge(new IntentEntry(OPERATION, SECOND, ROUTER, IntentEntry.State.CLAIMED, 1_000), 20);
+    replica.settle(OPERATION, FIRST, ROUTER, Verdict.RAN, 10);
+    replica.merge(new IntentEntry(OPERATION, SECOND, ROUTER, IntentEntry.State.CLAIMED, 1_000), 20);
     assertThat(claim(SECOND, 30)).isEqualTo(IntentAnswer.RAN);
   }
 
   private IntentAnswer claim(RequestId request, long nowMs) {
-    return keeper.claim(OPERATION, request, ROUTER, 1_000, nowMs);
+    return replica.claim(OPERATION, request, ROUTER, 1_000, nowMs);
   }
 
   private static OperationId operation(String tenant) {
