--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/BalancingPlanner.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/BalancingPlanner.java
@@ -8,12 +8,12 @@
 import java.util.function.Function;
 
 /**
- * Plans with few moves and bounded imbalance.
+ * Plans assignments with few moves and bounded imbalance.
  *
- * <p>In this order: shards of lost targets go to their standbys, shards without an owner get one,
- * draining targets give shards away, overloaded targets are relieved, and every shard gets a
- * standby in another data centre than its owner where there is one. What could wait is limited by
- * the budget of the input.
+ * <p>The steps, in this order: shards of lost targets move to their standbys, shards without an
+ * owner get one, draining targets hand over shards, overloaded targets are relieved, and every
+ * shard gets a standby, in another data centre than its owner if possible. The budget of the input
+ * limits the moves that could be postponed.
  *
  * @since 0.1
  */
@@ -21,7 +21,7 @@
 
   private final Function<PlacementInput, PlacementSettings> settingsOf;
 
-  /** Creates a planner whose settings follow from the objective. */
+  /** Creates a planner that takes its settings from the objective of the input. */
   public BalancingPlanner() {
     this(input -> PlacementSettings.of(input.objective()));
   }
@@ -29,7 +29,7 @@
   /**
    * Creates a planner.
    *
-   * @param settingsOf gives the settings to plan with; not null
+   * @param settingsOf returns the settings for an input; not null
    */
   public BalancingPlanner(Function<PlacementInput, PlacementSettings> settingsOf) {
     this.settingsOf = settingsOf;
@@ -44,19 +44,19 @@
     }
     MoveBudget budget = input.budget();
     new OwnerRepair(assignment).run(budget.drainMoves());
-    BitSet listedHot = listedHot(input);
+    BitSet markedHot = markedHot(input);
     new OwnerBalancer(
             assignment,
             settings.trigger(input.quietMs(), assignment.usableTargets()),
             settings.goal(input.quietMs()),
-            shard -> listedHot.get(shard) || assignment.load(shard) > settings.hotFactor(),
+            shard -> markedHot.get(shard) || assignment.load(shard) > settings.hotFactor(),
             budget.rebalanceMoves())
         .run();
     new StandbyPlanner(assignment, budget.standbyMoves()).run();
     return assignment.toPlan();
   }
 
-  private static BitSet listedHot(PlacementInput input) {
+  private static BitSet markedHot(PlacementInput input) {
     BitSet hot = new BitSet(input.table().shardCount());
     for (int shard : input.hotShards()) {
       hot.set(shard);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/ChurnBudget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/ChurnBudget.java
@@ -3,7 +3,7 @@
 /**
  * Limits avoidable owner moves per minute.
  *
- * <p>A token bucket that holds at most one minute's worth. Not thread-safe.
+ * <p>A token bucket with a capacity of one minute of moves. Not thread-safe.
  *
  * @since 0.1
  */
@@ -18,8 +18,8 @@
   /**
    * Creates a full budget.
    *
-   * @param movesPerMinute how many moves a minute allows; at least 1
-   * @param nowMs the current time
+   * @param movesPerMinute the number of moves allowed per minute; at least 1
+   * @param nowMs the current time in milliseconds
    */
   public ChurnBudget(int movesPerMinute, long nowMs) {
     this.movesPerMinute = movesPerMinute;
@@ -28,11 +28,11 @@
   }
 
   /**
-   * Creates the budget that an objective sets for a number of shards.
+   * Creates the budget that the settings define for a number of shards.
    *
    * @param settings the settings; not null
-   * @param shardCount how many shards there are
-   * @param nowMs the current time
+   * @param shardCount the number of shards
+   * @param nowMs the current time in milliseconds
    * @return a full budget of at least one move per minute
    */
   public static ChurnBudget of(PlacementSettings settings, int shardCount, long nowMs) {
@@ -43,7 +43,7 @@
   /**
    * Returns how many moves may be made now.
    *
-   * @param nowMs the current time
+   * @param nowMs the current time in milliseconds
    * @return at least 0
    */
   public int available(long nowMs) {
@@ -54,7 +54,7 @@
   }
 
   /**
-   * Takes moves out of the budget.
+   * Subtracts moves from the budget.
    *
    * @param moves how many were made; at least 0
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/MoveBudget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/MoveBudget.java
@@ -1,13 +1,13 @@
 package io.cuminvalve.core.placement;
 
 /**
- * How many avoidable moves one plan may contain.
+ * Limits the avoidable moves of one plan.
  *
- * <p>Taking over from a lost target and giving a first owner or standby are never limited.
+ * <p>Takeovers from a lost target and the assignment of a first owner or standby are never limited.
  *
- * @param rebalanceMoves owner moves that only even out load; at least 0
+ * @param rebalanceMoves owner moves that only balance load; at least 0
  * @param drainMoves owner moves off draining targets; at least 0
- * @param standbyMoves standby moves that only even out or spread; at least 0
+ * @param standbyMoves standby moves that only balance or spread load; at least 0
  * @since 0.1
  */
 public record MoveBudget(int rebalanceMoves, int drainMoves, int standbyMoves) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/MoveRole.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/MoveRole.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.core.placement;
 
 /**
- * Which of a shard's two targets a move replaces.
+ * The role of the target that a move replaces.
  *
  * @since 0.1
  */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementInput.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementInput.java
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /**
- * Everything that a plan depends on.
+ * The complete input of a plan.
  *
- * @param table the current assignment; every owner NO_TARGET before the first; not null
- * @param targets all known targets; one that the table names and this list does not is treated as
- *     DRAINING; not null, copied
- * @param shardLoads measured load per shard, in any unit common to all; empty if nothing was
- *     measured, so that shards count alike; not null, not copied
+ * @param table the current assignment; before the first plan every owner is NO_TARGET; not null
+ * @param targets all known targets; a target that is in the table but not in this list is treated
+ *     as DRAINING; not null, copied
+ * @param shardLoads measured load per shard, in any common unit; empty if nothing was measured, in
+ *     which case all shards count equally; not null, not copied
  * @param hotShards shards that hold a hot key and should stay where they are; not null, not copied
- * @param objective what to weigh most; not null
- * @param budget how many avoidable moves the plan may contain; not null
+ * @param objective the main objective; not null
+ * @param budget the limit of avoidable moves; not null
  * @param quietMs milliseconds since the set of usable targets last changed
  * @since 0.1
  */
@@ -32,13 +32,15 @@
   /**
    * Copies the targets and checks the loads.
    *
-   * @throws CodedException with code INVALID_INPUT if the number of loads fits no shard count
+   * @throws CodedException with code INVALID_INPUT if the number of loads differs from the number
+   *     of shards
    */
   public PlacementInput {
     targets = List.copyOf(targets);
     if (shardLoads.length != 0 && shardLoads.length != table.shardCount()) {
       throw new CodedException(
-          ErrorCode.INVALID_INPUT, "shardLoads has the wrong length: " + shardLoads.length);
+          ErrorCode.INVALID_INPUT,
+          "shardLoads differs in length from the shard table: " + shardLoads.length);
     }
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementPlan.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementPlan.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * The next assignment.
+ * The next assignment and the moves that lead to it.
  *
- * <p>A target that the input table refers to keeps its index, so previous owners stay valid.
+ * <p>A target to which the input table refers keeps its index, so previous owners remain valid.
  *
  * @param targets the targets that indexes refer to; not null, copied
- * @param owners owner per shard; not null, not copied
- * @param standbys standby per shard; not null, not copied
- * @param moves every difference from the input table, at most one per shard and role; not null,
+ * @param owners the owner of each shard; not null, not copied
+ * @param standbys the standby of each shard; not null, not copied
+ * @param moves all differences from the input table, at most one per shard and role; not null,
  *     copied
- * @param imbalanceBefore highest load per weight over the mean, of usable targets under the input
- *     table; 0 if no target is usable
+ * @param imbalanceBefore ratio of the highest load per weight of a usable target to the mean, under
+ *     the input table; 0 if no target is usable
  * @param imbalanceAfter the same under this plan
  * @since 0.1
  */
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Counts the shards that get another owner.
+   * Counts the shards whose owner changes.
    *
    * @return at least 0
    */
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Counts the moves made for one reason.
+   * Counts the moves with a given reason.
    *
    * @param reason the reason; not null
    * @return at least 0
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementPlanner.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementPlanner.java
@@ -1,9 +1,9 @@
 package io.cuminvalve.core.placement;
 
 /**
- * Decides which target owns each shard and which stands by.
+ * Decides which target owns each shard and which is its standby.
  *
- * <p>A planner is a pure function: the same input gives the same plan.
+ * <p>A planner is a pure function: equal inputs give equal plans.
  *
  * @since 0.1
  */
@@ -13,7 +13,7 @@
   /**
    * Plans the next assignment.
    *
-   * @param input what is known now; not null
+   * @param input the current state; not null
    * @return the next assignment and the moves that lead to it; never null
    */
   PlacementPlan plan(PlacementInput input);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementSettings.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementSettings.java
@@ -3,21 +3,21 @@
 import io.cuminvalve.core.inventory.PlacementObjective;
 
 /**
- * When the planner moves shards that could stay.
+ * Thresholds for moving shards that could stay where they are.
  *
- * <p>Imbalance is a target's load per weight over the mean. A target above a trigger is relieved
- * until it is at the matching goal; the gap between the two is the hysteresis. The settled pair
- * applies once the set of usable targets has not changed for a while, so that a rolling restart
- * does not move shards back and forth.
+ * <p>Imbalance is the load per weight of a target over the mean. A target above the trigger is
+ * relieved until it reaches the matching goal; the gap between the two is the hysteresis. The
+ * settled pair applies once the set of usable targets has not changed for a while, so that a
+ * rolling restart does not move shards back and forth.
  *
- * @param urgentTrigger imbalance that is acted on at any time
+ * @param urgentTrigger imbalance that causes moves at any time
  * @param urgentGoal imbalance at which urgent moves end
- * @param settledTrigger imbalance that is acted on once membership is settled
+ * @param settledTrigger imbalance that causes moves once membership is settled
  * @param settledGoal imbalance at which settled moves end
- * @param settleAfterMs milliseconds without a change of membership that count as settled
- * @param hotFactor a shard with more than this many times the mean load counts as hot
- * @param warmUpMs milliseconds until a cold target counts in full
- * @param churnPerMillePerMinute churn budget: owner moves per minute that only even out load, in
+ * @param settleAfterMs milliseconds without a change of membership after which it is settled
+ * @param hotFactor a shard with more than this multiple of the mean load is hot
+ * @param warmUpMs milliseconds until a cold target counts with all its slots
+ * @param churnPerMillePerMinute churn budget: owner moves per minute that only balance load, in
  *     thousandths of all shards
  * @since 0.1
  */
@@ -31,9 +31,9 @@
     long warmUpMs,
     int churnPerMillePerMinute) {
 
-  private static final double FIRST_WARM_SHARE = 0.1;
+  private static final double MIN_WARM_SHARE = 0.1;
 
-  /** Unevenness of the others that is tolerated beside one empty target. */
+  /** Imbalance tolerated among the other targets while one target is empty. */
   private static final double EMPTY_TARGET_ALLOWANCE = 0.05;
 
   private static final PlacementSettings UNAVAILABLE_TIME_FIRST =
@@ -53,19 +53,19 @@
   }
 
   /**
-   * Returns the share of its slots that a cold target counts with.
+   * Returns the share of the slots of a cold target that counts.
    *
-   * @param readyForMs milliseconds since it became ready
-   * @return from 0.1 up to 1, growing in proportion to time
+   * @param readyForMs milliseconds since the target became ready
+   * @return from 0.1 to 1, growing linearly with time
    */
   public double warmShare(long readyForMs) {
     double elapsed = (double) readyForMs / warmUpMs;
-    return Math.min(1, Math.max(FIRST_WARM_SHARE, elapsed));
+    return Math.min(1, Math.max(MIN_WARM_SHARE, elapsed));
   }
 
   /**
-   * Returns the imbalance above which a target is relieved. Until membership is settled, one target
-   * that has come back empty is no reason to move shards: in a rolling restart the next target that
+   * Returns the imbalance above which a target is relieved. Until membership is settled, a single
+   * target that has returned empty does not cause moves: in a rolling restart, the next target that
    * drains fills it.
    *
    * @param quietMs milliseconds since the set of usable targets last changed
@@ -81,7 +81,7 @@
   }
 
   /**
-   * Returns the imbalance at which relief ends.
+   * Returns the imbalance at which relief of a target ends.
    *
    * @param quietMs milliseconds since the set of usable targets last changed
    * @return load per weight over the mean
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementTarget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/PlacementTarget.java
@@ -6,12 +6,12 @@
 import io.cuminvalve.kernel.ErrorCode;
 
 /**
- * A target as placement sees it.
+ * A target with the properties relevant to placement.
  *
  * @param id its identifier; not null
- * @param dataCentre where it runs; not null
- * @param slots how many requests it works on at a time; at least 1
- * @param state what may be done with it; not null
+ * @param dataCentre the data centre it runs in; not null
+ * @param slots how many requests it processes concurrently; at least 1
+ * @param state its state, which determines whether it may receive shards; not null
  * @param warmShare the share of its slots that counts, above 0 and at most 1; below 1 only while it
  *     is COLD, see {@link PlacementSettings#warmShare(long)}
  * @since 0.1
@@ -20,7 +20,7 @@
     TargetId id, DataCentreId dataCentre, int slots, TargetState state, double warmShare) {
 
   /**
-   * Checks slots and share.
+   * Validates the slots and the warm share.
    *
    * @throws CodedException with code INVALID_INPUT if one is out of range
    */
@@ -32,7 +32,7 @@
   }
 
   /**
-   * Returns how much load the target should carry, in relation to others.
+   * Returns the relative load that the target should have.
    *
    * @return slots times warm share; 0 if the target may not receive shards
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/TargetState.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/TargetState.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.core.placement;
 
 /**
- * What placement may do with a target.
+ * The state of a target with respect to placement.
  *
  * @since 0.1
  */
@@ -10,13 +10,13 @@
   ACTIVE,
   /** Serves, and receives shards in proportion to how far it has warmed up. */
   COLD,
-  /** Is leaving: serves what it owns, receives nothing, gives its shards away. */
+  /** Is leaving: serves its shards until they are moved, and receives none. */
   DRAINING,
-  /** Does not serve: its shards go to their standbys. */
+  /** Does not serve: its shards are taken over by their standbys. */
   LOST;
 
   /**
-   * Tells whether a target in this state may receive shards.
+   * Returns whether a target in this state may receive shards.
    *
    * @return true for ACTIVE and COLD
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/Assignment.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/Assignment.java
@@ -12,16 +12,18 @@
 import java.util.List;
 
 /**
- * The assignment that a plan is working on, with the load of every target kept up to date.
+ * The assignment during planning, with the current load of every target.
  *
- * <p>Loads are relative: a target that carries exactly its share of the whole has ratio 1.
+ * <p>Loads are relative: a target with exactly its fair share of the total load has ratio 1.
  *
  * @since 0.1
  */
 public final class Assignment {
 
-  /** Part of a shard's load that does not depend on measurement, so that idle shards spread too. */
-  private static final double EVEN_PART = 0.05;
+  /**
+   * Share of a shard's load that is independent of measurements, so that idle shards spread too.
+   */
+  private static final double UNIFORM_SHARE = 0.05;
 
   private final ShardTable table;
   private final TargetIndex index;
@@ -36,7 +38,7 @@
   private final double imbalanceBefore;
 
   /**
-   * Starts from the assignment of the input.
+   * Creates the assignment from the table of the input.
    *
    * @param input the input of the plan; not null
    */
@@ -54,7 +56,7 @@
     imbalanceBefore = imbalance();
   }
 
-  /** Scales loads to a mean of 1 and mixes in the even part. */
+  /** Scales loads to a mean of 1 and adds the uniform share. */
   private static double[] relativeLoads(double[] measured, int shardCount) {
     double sum = 0;
     for (double load : measured) {
@@ -63,7 +65,7 @@
     double[] loads = new double[shardCount];
     for (int shard = 0; shard < shardCount; shard++) {
       double relative = sum > 0 ? measured[shard] * shardCount / sum : 1;
-      loads[shard] = EVEN_PART + (1 - EVEN_PART) * relative;
+      loads[shard] = UNIFORM_SHARE + (1 - UNIFORM_SHARE) * relative;
     }
     return loads;
   }
@@ -127,17 +129,18 @@
   }
 
   /**
-   * Tells whether a shard may be given to another owner by choice.
+   * Returns whether a shard may get another owner by an avoidable move.
    *
    * @param shard the shard
-   * @return false while an earlier move of it is not finished, or if this plan moved it already
+   * @return false while an earlier move of the shard is in progress, or if this plan has moved it
+   *     already
    */
   public boolean isSettled(int shard) {
     return !table.isMoving(shard) && ownerReasons[shard] == null;
   }
 
   /**
-   * Returns the load that a target of a given weight should carry.
+   * Returns the load that a target of a given weight should have.
    *
    * @param weight the weight
    * @return in units of the mean shard load
@@ -147,20 +150,20 @@
   }
 
   /**
-   * Returns a target's owned load over its fair load.
+   * Returns the ratio of the owned load of a target to its fair load.
    *
    * @param target a usable target
-   * @return 1 if it carries exactly its share
+   * @return 1 if it owns exactly its share
    */
   public double ownerRatio(int target) {
     return ownerLoads[target] / fairLoad(index.weight(target));
   }
 
   /**
-   * Returns the load of the shards that a target stands by for, over its fair load.
+   * Returns the ratio of the load of the shards of which a target is the standby to its fair load.
    *
    * @param target a usable target
-   * @return 1 if it stands by for exactly its share
+   * @return 1 if it is the standby of exactly its share
    */
   public double standbyRatio(int target) {
     return standbyLoads[target] / fairLoad(index.weight(target));
@@ -177,11 +180,11 @@
   }
 
   /**
-   * Gives a shard another owner. If that was the standby, the shard has none afterwards.
+   * Changes the owner of a shard. If the new owner was the standby, the standby is removed.
    *
    * @param shard the shard
    * @param target the new owner
-   * @param reason why; not null
+   * @param reason the reason of the change; not null
    */
   public void setOwner(int shard, int target, MoveReason reason) {
     add(ownerLoads, owners[shard], -shardLoads[shard]);
@@ -194,11 +197,11 @@
   }
 
   /**
-   * Gives a shard another standby.
+   * Changes the standby of a shard.
    *
    * @param shard the shard
    * @param target the new standby or NO_TARGET
-   * @param reason why; not null
+   * @param reason the reason of the change; not null
    */
   public void setStandby(int shard, int target, MoveReason reason) {
     add(standbyLoads, standbys[shard], -shardLoads[shard]);
@@ -223,7 +226,7 @@
   }
 
   /**
-   * Tells whether a target exists and may receive shards.
+   * Returns whether a target exists and may receive shards.
    *
    * @param target a target or NO_TARGET
    * @return true if it is usable
@@ -233,7 +236,7 @@
   }
 
   /**
-   * Tells whether a shard's owner is lost.
+   * Returns whether the owner of a shard is lost.
    *
    * @param shard the shard
    * @return true if it has an owner and that owner is lost
@@ -243,7 +246,7 @@
   }
 
   /**
-   * Returns the highest owner ratio of any usable target.
+   * Returns the highest owner ratio of the usable targets.
    *
    * @return 0 if no target is usable
    */
@@ -256,7 +259,7 @@
   }
 
   /**
-   * Ends the planning.
+   * Creates the plan from the current state.
    *
    * @return the plan; never null
    */
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/OwnerBalancer.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/OwnerBalancer.java
@@ -10,21 +10,21 @@
 import java.util.stream.Collectors;
 
 /**
- * Relieves overloaded targets with as few moves as it can.
+ * Relieves overloaded targets with as few moves as possible.
  *
- * <p>The hottest shard of a target stays and its neighbours leave.
+ * <p>The hottest shard of a target stays, and other shards of the target are moved away.
  *
  * @since 0.1
  */
 public final class OwnerBalancer {
 
   /**
-   * How many shards of fitting load are looked at for one with a standby in another data centre.
+   * How many shards of suitable load are examined for one with a standby in another data centre.
    */
   private static final int SPREAD_CANDIDATES = 16;
 
   /** A move has to lower the higher of two ratios by at least this much. */
-  private static final double LEAST_GAIN = 0.005;
+  private static final double MIN_GAIN = 0.005;
 
   private final Assignment assignment;
   private final double trigger;
@@ -36,10 +36,10 @@
    * Creates the step.
    *
    * @param assignment the assignment to change; not null
-   * @param trigger the ratio above which a target is relieved
-   * @param goal the ratio at which that ends
-   * @param isHot whether a shard should stay; not null
-   * @param maxMoves how many shards may move
+   * @param trigger the owner ratio above which a target is relieved
+   * @param goal the owner ratio at which the relief ends
+   * @param isHot returns whether a shard is hot; not null
+   * @param maxMoves the maximum number of moves
    */
   public OwnerBalancer(
       Assignment assignment, double trigger, double goal, IntPredicate isHot, int maxMoves) {
@@ -50,7 +50,7 @@
     this.movesLeft = maxMoves;
   }
 
-  /** Changes the assignment. */
+  /** Applies the step to the assignment. */
   public void run() {
     if (movesLeft <= 0 || assignment.imbalance() <= trigger) {
       return;
@@ -64,7 +64,7 @@
         return;
       }
       relieve(source, shards.of(source), order);
-      order.setAside(source);
+      order.exclude(source);
     }
   }
 
@@ -78,26 +78,26 @@
     Optional<Integer> pinned = pinnedShard(movable);
     if (pinned.isPresent()) {
       movable.remove(pinned.get());
-      partHotShards(source, assignment.load(pinned.get()), movable, order);
+      separateHotShards(source, assignment.load(pinned.get()), movable, order);
     }
     moveWhileAbove(source, movable, order);
   }
 
-  /** Moves shards that do not fit beside the hottest one, even if their neighbours all left. */
-  private void partHotShards(
+  /** Moves hot shards that would exceed the goal together with the hottest one alone. */
+  private void separateHotShards(
       int source, double pinnedLoad, List<Integer> candidates, TargetOrder order) {
     while (movesLeft > 0 && !candidates.isEmpty()) {
       int last = candidates.size() - 1;
       int shard = candidates.get(last);
       boolean fits = pinnedLoad + assignment.load(shard) <= goal * fairLoad(source);
-      if (fits || !isHot.test(shard) || !helps(source, order.leastLoaded(), shard)) {
+      if (fits || !isHot.test(shard) || !reducesImbalance(source, order.leastLoaded(), shard)) {
         return;
       }
       move(candidates, last, order);
     }
   }
 
-  /** The hottest shard, unless it is an ordinary one. */
+  /** Returns the hottest shard if it counts as hot. */
   private Optional<Integer> pinnedShard(List<Integer> ascending) {
     if (ascending.isEmpty()) {
       return Optional.empty();
@@ -106,11 +106,11 @@
     return isHot.test(hottest) ? Optional.of(hottest) : Optional.empty();
   }
 
-  /** Moves shards out of a list in ascending order of load until the source is at the goal. */
+  /** Moves shards from a list in ascending order of load until the source reaches the goal. */
   private void moveWhileAbove(int source, List<Integer> candidates, TargetOrder order) {
     while (movesLeft > 0 && assignment.ownerRatio(source) > goal) {
       int target = order.leastLoaded();
-      int position = choose(source, target, candidates);
+      int position = choosePosition(source, target, candidates);
       if (position < 0) {
         return;
       }
@@ -126,52 +126,56 @@
     movesLeft--;
   }
 
-  /** The position of the shard to move, or -1 if no move would help. */
-  private int choose(int source, int target, List<Integer> candidates) {
+  /** Returns the position of the shard to move, or -1 if no move reduces the imbalance. */
+  private int choosePosition(int source, int target, List<Integer> candidates) {
     if (candidates.isEmpty() || source == target) {
       return -1;
     }
     double excess = assignment.ownerLoad(source) - goal * fairLoad(source);
-    double room = goal * fairLoad(target) - assignment.ownerLoad(target);
-    int fitting = lastAtMost(candidates, room);
+    double spare = goal * fairLoad(target) - assignment.ownerLoad(target);
+    int fitting = lastAtMost(candidates, spare);
     if (fitting < 0) {
-      return helps(source, target, candidates.get(0)) ? 0 : -1;
+      return reducesImbalance(source, target, candidates.get(0)) ? 0 : -1;
     }
-    // One shard that covers the excess is one move; without one, the largest that fits.
+    // Prefers the smallest shard that covers the excess in one move, else the largest that fits.
     int covering = lastAtMost(candidates, Math.nextDown(excess)) + 1;
-    int wanted = Math.min(covering, fitting);
-    return helps(source, target, candidates.get(wanted)) ? spread(target, candidates, wanted) : -1;
+    int preferred = Math.min(covering, fitting);
+    return reducesImbalance(source, target, candidates.get(preferred))
+        ? preferSpread(target, candidates, preferred)
+        : -1;
   }
 
-  private boolean helps(int source, int target, int shard) {
+  private boolean reducesImbalance(int source, int target, int shard) {
     double after = (assignment.ownerLoad(target) + assignment.load(shard)) / fairLoad(target);
-    return after < assignment.ownerRatio(source) - LEAST_GAIN;
+    return after < assignment.ownerRatio(source) - MIN_GAIN;
   }
 
-  /** A position near the wanted one, if possible of a shard whose standby is elsewhere. */
-  private int spread(int target, List<Integer> candidates, int wanted) {
-    int last = Math.max(0, wanted - SPREAD_CANDIDATES);
-    for (int position = wanted; position >= last; position--) {
+  /**
+   * Returns a position near the preferred one, if possible with a standby in another data centre.
+   */
+  private int preferSpread(int target, List<Integer> candidates, int preferred) {
+    int last = Math.max(0, preferred - SPREAD_CANDIDATES);
+    for (int position = preferred; position >= last; position--) {
       int standby = assignment.standby(candidates.get(position));
-      boolean isApart =
+      boolean isElsewhere =
           standby == ShardTable.NO_TARGET || !assignment.index().sameDataCentre(standby, target);
-      if (isApart && isSimilar(candidates, position, wanted)) {
+      if (isElsewhere && isSimilar(candidates, position, preferred)) {
         return position;
       }
     }
-    return wanted;
+    return preferred;
   }
 
-  private boolean isSimilar(List<Integer> candidates, int position, int wanted) {
-    double wantedLoad = assignment.load(candidates.get(wanted));
-    return assignment.load(candidates.get(position)) >= 0.8 * wantedLoad;
+  private boolean isSimilar(List<Integer> candidates, int position, int preferred) {
+    double preferredLoad = assignment.load(candidates.get(preferred));
+    return assignment.load(candidates.get(position)) >= 0.8 * preferredLoad;
   }
 
   private double fairLoad(int target) {
     return assignment.fairLoad(assignment.index().weight(target));
   }
 
-  /** The last position whose load is at most a limit, or -1. */
+  /** Returns the last position whose load is at most the limit, or -1. */
   private int lastAtMost(List<Integer> candidates, double limit) {
     int low = 0;
     int high = candidates.size();
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/OwnerRepair.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/OwnerRepair.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 
 /**
- * Gives an owner to each shard that has none, or whose owner is lost or leaving.
+ * Assigns an owner to each shard that has none, or whose owner is lost or draining.
  *
  * @since 0.1
  */
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Changes the assignment. At least one target has to be usable.
+   * Applies the step to the assignment. At least one target must be usable.
    *
-   * @param drainMoves how many shards may leave draining targets
+   * @param drainMoves the maximum number of shards to move away from draining targets
    */
   public void run(int drainMoves) {
     takeOverFromLost();
@@ -55,23 +55,23 @@
   }
 
   private void assign(int shard) {
-    int target = order.leastLoadedApartFrom(assignment.standby(shard));
+    int target = order.leastLoadedOutsideDataCentreOf(assignment.standby(shard));
     order.setOwner(shard, target, MoveReason.FIRST_ASSIGNMENT);
   }
 
   private void drain(int drainMoves) {
-    int left = drainMoves;
-    for (int shard = 0; shard < assignment.shardCount() && left > 0; shard++) {
+    int remaining = drainMoves;
+    for (int shard = 0; shard < assignment.shardCount() && remaining > 0; shard++) {
       if (!assignment.isUsable(assignment.owner(shard)) && assignment.isSettled(shard)) {
         order.setOwner(shard, drainTarget(shard), MoveReason.TARGET_DRAINING);
-        left--;
+        remaining--;
       }
     }
   }
 
   /**
-   * The standby if that leaves it at or below its share, else the least loaded target: in a rolling
-   * restart this refills the target that has just come back.
+   * Returns the standby if its load then stays within its share, else the least loaded target. In a
+   * rolling restart, this refills the target that has just returned.
    */
   private int drainTarget(int shard) {
     int standby = assignment.standby(shard);
@@ -81,6 +81,6 @@
         return standby;
       }
     }
-    return order.leastLoadedApartFrom(standby);
+    return order.leastLoadedOutsideDataCentreOf(standby);
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/ShardsByTarget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/ShardsByTarget.java
@@ -5,7 +5,7 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * The shards of each target, as they were when this object was made.
+ * An immutable snapshot of the shards of each target.
  *
  * @since 0.1
  */
@@ -14,7 +14,7 @@
   private final int[] starts;
   private final int[] shards;
 
-  /** Groups shards by the target that a function gives for each. */
+  /** Groups the shards by the target that a function returns for each. */
   ShardsByTarget(int targetCount, int shardCount, IntUnaryOperator targetOf) {
     starts = new int[targetCount + 1];
     for (int shard = 0; shard < shardCount; shard++) {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** The shards of one target in ascending order, in an array of the caller's own. */
+  /** Returns the shards of one target in ascending order, as a new array. */
   int[] of(int target) {
     return Arrays.copyOfRange(shards, starts[target], starts[target + 1]);
   }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/StandbyPlanner.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/StandbyPlanner.java
@@ -5,23 +5,23 @@
 
 /**
  * Chooses standbys: in another data centre than the owner, and spread so that the loss of one owner
- * loads no single target much.
+ * does not overload a single target.
  *
  * @since 0.1
  */
 public final class StandbyPlanner {
 
-  /** With more targets than this, a sample of this size is looked at for each shard. */
+  /** With more targets than this, a sample of this size is examined for each shard. */
   private static final int MAX_CANDIDATES = 32;
 
-  /** How much the balance of all standbys counts beside the spread of one owner's. */
+  /** Weight of the balance of all standbys relative to the spread of the standbys of one owner. */
   private static final double BALANCE_WEIGHT = 0.1;
 
-  /** Least part of one owner's load that a single standby may take over. */
-  private static final double LEAST_CONCENTRATION = 0.25;
+  /** Lower bound of the limit on the ratio that a standby takes over from one owner. */
+  private static final double MIN_CONCENTRATION_LIMIT = 0.25;
 
-  /** A spread standby has to take over less than the earlier one by this part of its share. */
-  private static final double LEAST_GAIN = 0.05;
+  /** Minimum reduction of the takeover ratio by the replacement of a concentrated standby. */
+  private static final double MIN_GAIN = 0.05;
 
   private final Assignment assignment;
   private final TargetIndex index;
@@ -34,18 +34,19 @@
    * Creates the step.
    *
    * @param assignment the assignment to change; not null
-   * @param maxAvoidableMoves how many usable standbys may be replaced
+   * @param maxAvoidableMoves the maximum number of usable standbys to replace
    */
   public StandbyPlanner(Assignment assignment, int maxAvoidableMoves) {
     this.assignment = assignment;
     this.index = assignment.index();
     this.usable = index.usable();
     this.takeover = new double[index.size()];
-    this.concentrationLimit = Math.max(LEAST_CONCENTRATION, 3.0 / Math.max(1, usable.length - 1));
+    this.concentrationLimit =
+        Math.max(MIN_CONCENTRATION_LIMIT, 3.0 / Math.max(1, usable.length - 1));
     this.avoidableMovesLeft = maxAvoidableMoves;
   }
 
-  /** Changes the assignment. */
+  /** Applies the step to the assignment. */
   public void run() {
     ShardsByTarget shards =
         new ShardsByTarget(index.size(), assignment.shardCount(), assignment::owner);
@@ -108,16 +109,18 @@
     }
   }
 
-  /** A hot shard concentrates load on any standby: without this it would never keep one. */
+  /**
+   * Prevents a hot shard, which concentrates load on any standby, from changing it in every plan.
+   */
   private boolean isWorthwhile(int earlier, int chosen, double load, MoveReason reason) {
     if (chosen == ShardTable.NO_TARGET) {
       return false;
     }
     return reason != MoveReason.STANDBY_CONCENTRATED
-        || takeoverRatio(chosen, load) < takeoverRatio(earlier, load) - LEAST_GAIN;
+        || takeoverRatio(chosen, load) < takeoverRatio(earlier, load) - MIN_GAIN;
   }
 
-  /** Rounding must not leave a rest behind on a target that nobody resets. */
+  /** Clears rounding residue, as nothing else resets a target that is no longer a standby. */
   private void clearIfUnused(int standby) {
     if (standby != ShardTable.NO_TARGET && takeover[standby] < 1e-9) {
       takeover[standby] = 0;
@@ -125,22 +128,23 @@
   }
 
   private int choose(int owner, int shard) {
-    boolean apart = index.hasUsableElsewhere(owner);
+    boolean otherDataCentre = index.hasUsableElsewhere(owner);
     int chosen = ShardTable.NO_TARGET;
     if (usable.length > MAX_CANDIDATES) {
-      chosen = chooseAmong(owner, shard, apart, MAX_CANDIDATES);
+      chosen = chooseAmong(owner, shard, otherDataCentre, MAX_CANDIDATES);
     }
     return chosen != ShardTable.NO_TARGET
         ? chosen
-        : chooseAmong(owner, shard, apart, usable.length);
+        : chooseAmong(owner, shard, otherDataCentre, usable.length);
   }
 
-  private int chooseAmong(int owner, int shard, boolean apart, int candidates) {
+  private int chooseAmong(int owner, int shard, boolean otherDataCentre, int candidates) {
     int best = ShardTable.NO_TARGET;
     double bestScore = Double.MAX_VALUE;
     for (int i = 0; i < candidates; i++) {
       int candidate = candidates == usable.length ? usable[i] : sample(shard, i);
-      boolean isAllowed = candidate != owner && !(apart && index.sameDataCentre(candidate, owner));
+      boolean isAllowed =
+          candidate != owner && !(otherDataCentre && index.sameDataCentre(candidate, owner));
       if (isAllowed) {
         double score = score(candidate, shard);
         if (score < bestScore) {
@@ -152,7 +156,7 @@
     return best;
   }
 
-  /** A pseudorandom usable target, the same for the same shard and number. */
+  /** Returns a pseudorandom usable target, determined by the shard and the number. */
   private int sample(int shard, int number) {
     long mixed = (shard * 0x9e3779b97f4a7c15L) + (number * 0xbf58476d1ce4e5b9L);
     mixed = (mixed ^ (mixed >>> 30)) * 0x94d049bb133111ebL;
@@ -160,7 +164,9 @@
     return usable[(int) Long.remainderUnsigned(mixed, usable.length)];
   }
 
-  /** The candidate's ratio if the owner were lost, and a little of its load as a standby. */
+  /**
+   * Returns the ratio of the candidate after a loss of the owner, plus its weighted standby ratio.
+   */
   private double score(int candidate, int shard) {
     double afterLoss =
         Math.max(1, assignment.ownerRatio(candidate))
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/TargetIndex.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/TargetIndex.java
@@ -12,16 +12,16 @@
 import java.util.Map;
 
 /**
- * Numbers the targets of a plan.
+ * Assigns numbers to the targets of a plan.
  *
- * <p>A target of the table keeps its number. A new one takes the number of a target that is gone
- * and that no shard refers to, or the next free number.
+ * <p>A target in the table keeps its number. A new target takes the number of a removed target to
+ * which no shard refers, or the next free number.
  *
  * @since 0.1
  */
 public final class TargetIndex {
 
-  /** The data centre of a target that only the table knows. */
+  /** Marks the data centre of a target that is only in the table. */
   private static final int UNKNOWN_DATA_CENTRE = -1;
 
   private final List<TargetId> ids;
@@ -140,7 +140,9 @@
     return totalWeight;
   }
 
-  /** The usable targets in ascending order; shared, not to be changed. */
+  /**
+   * Returns the usable targets in ascending order; the array is shared and must not be modified.
+   */
   int[] usable() {
     return usable;
   }
@@ -149,7 +151,7 @@
     return dataCentres[first] == dataCentres[second];
   }
 
-  /** Whether a usable target outside the data centre of the given one exists. */
+  /** Returns whether there is a usable target outside the data centre of the given one. */
   boolean hasUsableElsewhere(int target) {
     int dataCentre = dataCentres[target];
     double here = dataCentre == UNKNOWN_DATA_CENTRE ? 0 : dataCentreWeights[dataCentre];
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/TargetOrder.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/TargetOrder.java
@@ -6,15 +6,15 @@
 import java.util.TreeSet;
 
 /**
- * The usable targets in the order of their owner ratio.
+ * The usable targets, ordered by their owner ratio.
  *
- * <p>All changes of owners go through this class while it is in use.
+ * <p>While it is in use, all changes of owners must go through this class.
  *
  * @since 0.1
  */
 final class TargetOrder {
 
-  /** How many of the least loaded targets are looked at for one in another data centre. */
+  /** How many of the least loaded targets are examined for one in another data centre. */
   private static final int SPREAD_CANDIDATES = 4;
 
   private final Assignment assignment;
@@ -41,35 +41,37 @@
     return targets.last();
   }
 
-  /** One of the least loaded targets, if possible outside the data centre of the standby. */
-  int leastLoadedApartFrom(int standby) {
+  /**
+   * Returns one of the least loaded targets, if possible outside the data centre of the standby.
+   */
+  int leastLoadedOutsideDataCentreOf(int standby) {
     if (!assignment.isUsable(standby)) {
       return leastLoaded();
     }
-    int looked = 0;
+    int examined = 0;
     for (int target : targets) {
       if (!assignment.index().sameDataCentre(target, standby)) {
         return target;
       }
-      if (++looked == SPREAD_CANDIDATES) {
+      if (++examined == SPREAD_CANDIDATES) {
         break;
       }
     }
     return leastLoaded();
   }
 
-  /** Leaves a target out from now on. */
-  void setAside(int target) {
+  /** Removes a target from the order. */
+  void exclude(int target) {
     targets.remove(target);
   }
 
   void setOwner(int shard, int target, MoveReason reason) {
-    int earlier = assignment.owner(shard);
-    boolean earlierListed = earlier != ShardTable.NO_TARGET && targets.remove(earlier);
+    int previous = assignment.owner(shard);
+    boolean previousListed = previous != ShardTable.NO_TARGET && targets.remove(previous);
     boolean targetListed = targets.remove(target);
     assignment.setOwner(shard, target, reason);
-    if (earlierListed) {
-      targets.add(earlier);
+    if (previousListed) {
+      targets.add(previous);
     }
     if (targetListed) {
       targets.add(target);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/internal/package-info.java
@@ -1,2 +1,2 @@
-/** The steps of the balancing planner. */
+/** The planning steps of the balancing planner. */
 package io.cuminvalve.core.placement.internal;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/package-info.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Placement: which target owns each shard, which stands by, and when to move. */
+/** Placement: decides which target owns each shard, which is its standby, and when shards move. */
 package io.cuminvalve.core.placement;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/table/ShardTable.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/table/ShardTable.java
@@ -12,9 +12,9 @@
  * An immutable assignment of every shard of one cell.
  *
  * <p>Shards are numbered from 0. Targets are referred to by their index in {@link #targets()}, so
- * that a look-up on the request path reads plain arrays. A shard whose {@link #previousOwner(int)}
- * is not {@link #NO_TARGET} is moving: its new owner serves nothing until the holder of the term
- * has proved that the previous owner stopped and has announced the new token as open.
+ * that a lookup on the request path reads plain arrays. A shard whose {@link #previousOwner(int)}
+ * is not {@link #NO_TARGET} is moving: its new owner does not serve it until the term holder has
+ * proved that the previous owner stopped and has announced that the new token is open.
  *
  * @since 0.1
  */
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/BalancingPlannerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/BalancingPlannerTest.java
@@ -106,7 +106,7 @@
     }
     cell.quietMs = SETTLED_MS;
     moves += cell.step().ownerMoves();
-    // Every shard has to leave its owner once, and the first target's shards find no empty one.
+    // Every shard leaves its owner once, and the shards of the first target find no empty target.
     int minimum = SHARDS + SHARDS / targets;
     assertThat(moves).isAtMost(minimum * 3 / 2);
     assertThat(cell.planner.plan(cell.input()).imbalanceAfter()).isAtMost(1.05);
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void hotShardStaysAndItsNeighboursLeave() {
+  void hotShardStaysAndOtherShardsLeave() {
     PlacementFixture cell = cell(20, PlacementObjective.UNAVAILABLE_TIME_FIRST);
     int hot = cell.shardsOf(3)[0];
     cell.loads = new double[SHARDS];
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void severalHotShardsOnOneTargetAreParted() {
+  void severalHotShardsOnOneTargetAreSeparated() {
     PlacementFixture cell = cell(20, PlacementObjective.CHURN_FIRST);
     int[] owned = cell.shardsOf(3);
     cell.loads = new double[SHARDS];
@@ -179,7 +179,7 @@
   }
 
   @Test
-  void rebalancingKeepsToItsBudget() {
+  void rebalancingObservesItsBudget() {
     PlacementFixture cell = cell(10, PlacementObjective.UNAVAILABLE_TIME_FIRST);
     cell.set(10, TargetState.ACTIVE);
     cell.quietMs = SETTLED_MS;
@@ -188,7 +188,7 @@
   }
 
   @Test
-  void drainKeepsToItsBudgetAndEnds() {
+  void drainObservesItsBudgetAndEnds() {
     PlacementFixture cell = cell(10, PlacementObjective.UNAVAILABLE_TIME_FIRST);
     cell.budget = new MoveBudget(0, 16, 0);
     cell.set(4, TargetState.DRAINING);
@@ -201,7 +201,7 @@
   }
 
   @Test
-  void oneEmptyTargetIsNoReasonToMoveUntilSettled() {
+  void oneEmptyTargetCausesNoMovesUntilSettled() {
     PlacementFixture cell = cell(4, PlacementObjective.UNAVAILABLE_TIME_FIRST);
     cell.set(4, TargetState.ACTIVE);
     assertThat(cell.step().ownerMoves()).isEqualTo(0);
@@ -224,7 +224,7 @@
   }
 
   @Test
-  void movingShardIsNotMovedAgainByChoice() {
+  void movingShardHasNoAvoidableMove() {
     PlacementFixture cell = cell(10, PlacementObjective.UNAVAILABLE_TIME_FIRST);
     int[] previous = new int[SHARDS];
     Arrays.fill(previous, 0);
@@ -274,7 +274,7 @@
       }
       int usable =
           (int) cell.targets.values().stream().filter(target -> target.state().isUsable()).count();
-      // In numbers of its own: a wider trigger in the planner has to fail here.
+      // Repeats the numbers of the planner, so that a wider trigger there fails this test.
       double trigger = Math.max(1.10, (double) usable / Math.max(1, usable - 1) + 0.05);
       assertWithMessage("round %s", round).that(plan.imbalanceAfter()).isAtMost(trigger + 0.01);
     }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/PlacementFixture.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/PlacementFixture.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
-/** A cell whose plans take effect at once. */
+/** A simulated cell in which plans take effect immediately. */
 final class PlacementFixture {
 
   final PlacementPlanner planner = new BalancingPlanner();
@@ -47,7 +47,7 @@
     targets.put(id(number), new PlacementTarget(id(number), dataCentre, 4, state, warmShare));
   }
 
-  /** Plans once and installs the result. */
+  /** Plans once and installs the new table. */
   PlacementPlan step() {
     PlacementPlan plan = planner.plan(input());
     table = table(plan.targets(), plan.owners(), plan.standbys(), table.previousOwnersCopy());
