--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/MovePlanner.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/balance/MovePlanner.java
@@ -27,7 +27,9 @@
    */
   private static final int MIN_CONCURRENT_MOVES = 10;
 
-  /** In a large service, one concurrent move per so many targets: an eighth of them gain keys. */
+  /**
+   * In a large service, one concurrent move per this many targets: an eighth gain keys at a time.
+   */
   private static final int TARGETS_PER_MOVE = 8;
 
   private final HotKeyPlacement hotKeys;
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentCoordinator.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentCoordinator.java
@@ -340,18 +340,18 @@
       return;
     }
     updateIncarnation(request.router(), request.incarnation(), nowMs);
-    List<IntentEntry> wanted = new ArrayList<>();
+    List<IntentEntry> entries = new ArrayList<>();
     replica.forEach(
         nowMs,
         entry -> {
           if (routers.isPicked(request.router(), entry.operation().hash(), REPLICAS)) {
-            wanted.add(entry);
+            entries.add(entry);
           }
         });
     int from = 0;
     do {
-      int to = Math.min(wanted.size(), from + ENTRIES_PER_MESSAGE);
-      boolean last = to == wanted.size();
+      int to = Math.min(entries.size(), from + ENTRIES_PER_MESSAGE);
+      boolean last = to == entries.size();
       sink.send(
           request.router(),
           new IntentPullReply(
@@ -362,11 +362,11 @@
               request.nonce(),
               recovery.completeVersion(),
               recovery.completeRouters(),
-              List.copyOf(wanted.subList(from, to)),
+              List.copyOf(entries.subList(from, to)),
               last,
               List.copyOf(restartedAtMs.keySet())));
       from = to;
-    } while (from < wanted.size());
+    } while (from < entries.size());
   }
 
   private void onPullReply(IntentPullReply reply, long nowMs) {
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/table/ShardTable.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/table/ShardTable.java
@@ -88,8 +88,8 @@
    * @return never null, version {@link TableVersion#NONE}
    */
   public static ShardTable unassigned(CellId cell, int shardCount, long configRevision) {
-    int[] nobody = new int[shardCount];
-    Arrays.fill(nobody, NO_TARGET);
+    int[] noTargets = new int[shardCount];
+    Arrays.fill(noTargets, NO_TARGET);
     return new ShardTable(
         cell,
         TableVersion.NONE,
@@ -97,9 +97,9 @@
         List.of(),
         List.of(),
         List.of(),
-        nobody,
-        nobody,
-        nobody,
+        noTargets,
+        noTargets,
+        noTargets,
         new long[shardCount]);
   }
 
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/PlacementFixture.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/PlacementFixture.java
@@ -26,9 +26,9 @@
 
   PlacementFixture(int shardCount, int targetCount, PlacementObjective objective) {
     this.objective = objective;
-    int[] nobody = new int[shardCount];
-    Arrays.fill(nobody, ShardTable.NO_TARGET);
-    table = table(List.of(), nobody, nobody, nobody);
+    int[] noTargets = new int[shardCount];
+    Arrays.fill(noTargets, ShardTable.NO_TARGET);
+    table = table(List.of(), noTargets, noTargets, noTargets);
     for (int i = 0; i < targetCount; i++) {
       set(i, TargetState.ACTIVE);
     }
