--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/PlacementFixture.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/placement/PlacementFixture.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
-/** A cell whose plans take effect at once. */
+/** A simulated cell in which plans take effect immediately. */
 final class PlacementFixture {
 
   final PlacementPlanner planner = new BalancingPlanner();
@@ -26,9 +26,9 @@
 
   PlacementFixture(int shardCount, int targetCount, PlacementObjective objective) {
     this.objective = objective;
-    int[] nobody = new int[shardCount];
-    Arrays.fill(nobody, ShardTable.NOBODY);
-    table = table(List.of(), nobody, nobody, nobody);
+    int[] noTargets = new int[shardCount];
+    Arrays.fill(noTargets, ShardTable.NO_TARGET);
+    table = table(List.of(), noTargets, noTargets, noTargets);
     for (int i = 0; i < targetCount; i++) {
       set(i, TargetState.ACTIVE);
     }
@@ -47,7 +47,7 @@
     targets.put(id(number), new PlacementTarget(id(number), dataCentre, 4, state, warmShare));
   }
 
-  /** Plans once and installs the result. */
+  /** Plans once and installs the new table. */
   PlacementPlan step() {
     PlacementPlan plan = planner.plan(input());
     table = table(plan.targets(), plan.owners(), plan.standbys(), table.previousOwnersCopy());
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
@@ -7,9 +7,9 @@
 import io.cuminvalve.core.balance.OverloadPolicy;
 import io.cuminvalve.core.balance.RangeBalancer;
 import io.cuminvalve.core.balance.RangeMove;
-import io.cuminvalve.core.balance.RangeTidier;
+import io.cuminvalve.core.balance.RangeDefragmenter;
 import io.cuminvalve.core.balance.TargetLoad;
-import io.cuminvalve.core.balance.TargetSpeeds;
+import io.cuminvalve.core.balance.RelativeLatencies;
 import io.cuminvalve.core.fleet.FleetTarget;
 import io.cuminvalve.core.fleet.TargetRegister;
 import io.cuminvalve.core.id.ServiceId;
@@ -84,11 +84,11 @@
   private final LeaseManager desk;
   private final DecisionLog log;
   private final KeyLoads loads;
-  private final TargetSpeeds speeds = new TargetSpeeds();
+  private final RelativeLatencies speeds = new RelativeLatencies();
   private final Predicate<TargetId> isResting;
   private final RateLimitCapacity capacity;
   private final Set<TargetId> busyTargets = new HashSet<>();
-  private final RangeTidier tidier = new RangeTidier();
+  private final RangeDefragmenter tidier = new RangeDefragmenter();
   private final OverloadPolicy overloadPolicy = new OverloadPolicy();
   private final MovePlanner planner =
       new MovePlanner(new HotKeyPlacement(), new RangeBalancer(BalancerSettings.DEFAULT));
@@ -279,7 +279,7 @@
     List<RangeMove> moves = planner.plan(targets, loads, speeds);
     if (moves.isEmpty() && nowMs - tidiedMs >= TIDY_INTERVAL_MS) {
       tidiedMs = nowMs;
-      moves = tidier.plan(targets, loads, MovePlanner.mostMoves(targets.size()));
+      moves = tidier.plan(targets, loads, MovePlanner.maxMoves(targets.size()));
     }
     for (RangeMove move : moves) {
       desk.move(move.keys(), move.to(), nowMs);
