--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerServer.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerServer.java
@@ -36,7 +36,7 @@
 
   private final PeerContext context;
   private final ServerSocketChannel listener;
-  private final Set<Inbound> inbound = ConcurrentHashMap.newKeySet();
+  private final Set<InboundConnection> inbound = ConcurrentHashMap.newKeySet();
 
   PeerServer(PeerContext context) {
     this.context = context;
@@ -69,7 +69,7 @@
   }
 
   void tick(long nowMs) {
-    for (Inbound peer : inbound) {
+    for (InboundConnection peer : inbound) {
       peer.tick(nowMs);
     }
   }
@@ -80,7 +80,7 @@
     } catch (IOException ignored) {
       // The process is stopping.
     }
-    for (Inbound peer : List.copyOf(inbound)) {
+    for (InboundConnection peer : List.copyOf(inbound)) {
       peer.connection.close(new CloseReason(CloseReason.Kind.LOCAL, "closed"));
     }
   }
@@ -106,13 +106,13 @@
     }
     channel.configureBlocking(false);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    Inbound peer = new Inbound(channel);
+    InboundConnection peer = new InboundConnection(channel);
     inbound.add(peer);
     peer.connection.register(context.reactor());
   }
 
   /** A connection that a peer opened. */
-  private final class Inbound implements PeerChannel, ConnectionListener {
+  private final class InboundConnection implements PeerChannel, ConnectionListener {
 
     private final OutboundQueue queue = new OutboundQueue(context.settings().queueCapacity());
     private final Connection connection;
@@ -120,7 +120,7 @@
     private long lastHeardMs = context.clock().nowMs();
     private volatile boolean closed;
 
-    Inbound(SocketChannel channel) {
+    InboundConnection(SocketChannel channel) {
       this.connection = new Connection(channel, context.serverHandshake(), queue, true, this);
       this.delivery = new Delivery(context.executor(), context.reactor(), connection);
     }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ArrayCodecs.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ArrayCodecs.java
@@ -17,7 +17,7 @@
   static Map<Type, ValueCodec> all() {
     return Map.of(
         byte[].class,
-        new ScalarCodecs.Scalar(
+        new ScalarCodecs.FunctionCodec(
             (packer, value) -> {
               byte[] bytes = (byte[]) value;
               packer.packBinaryHeader(bytes.length);
@@ -26,15 +26,15 @@
             ValueReader::readBytes,
             new byte[0]),
         int[].class,
-        new ScalarCodecs.Scalar(
+        new ScalarCodecs.FunctionCodec(
             (packer, value) -> writeInts(packer, (int[]) value), ArrayCodecs::readInts, new int[0]),
         long[].class,
-        new ScalarCodecs.Scalar(
+        new ScalarCodecs.FunctionCodec(
             (packer, value) -> writeLongs(packer, (long[]) value),
             ArrayCodecs::readLongs,
             new long[0]),
         double[].class,
-        new ScalarCodecs.Scalar(
+        new ScalarCodecs.FunctionCodec(
             (packer, value) -> writeDoubles(packer, (double[]) value),
             ArrayCodecs::readDoubles,
             new double[0]));
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ScalarCodecs.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ScalarCodecs.java
@@ -17,19 +17,21 @@
   static Map<Type, ValueCodec> all() {
     return Map.of(
         int.class,
-        new Scalar((packer, value) -> packer.packInt((Integer) value), ValueReader::readInt, 0),
+        new FunctionCodec(
+            (packer, value) -> packer.packInt((Integer) value), ValueReader::readInt, 0),
         long.class,
-        new Scalar((packer, value) -> packer.packLong((Long) value), ValueReader::readLong, 0L),
+        new FunctionCodec(
+            (packer, value) -> packer.packLong((Long) value), ValueReader::readLong, 0L),
         double.class,
-        new Scalar(
+        new FunctionCodec(
             (packer, value) -> packer.packDouble((Double) value), ValueReader::readDouble, 0.0),
         boolean.class,
-        new Scalar(
+        new FunctionCodec(
             (packer, value) -> packer.packBoolean((Boolean) value),
             ValueReader::readBoolean,
             false),
         String.class,
-        new Scalar(
+        new FunctionCodec(
             (packer, value) -> packer.packString((String) value), ValueReader::readString, ""));
   }
 
@@ -46,7 +48,7 @@
   }
 
   /** A codec of two functions and a default. */
-  record Scalar(Writing writing, Reading reading, Object missing) implements ValueCodec {
+  record FunctionCodec(Writing writing, Reading reading, Object missing) implements ValueCodec {
 
     @Override
     public void write(MessagePacker packer, Object value) throws IOException {
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ShardTableCodec.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ShardTableCodec.java
@@ -24,7 +24,7 @@
   private final ValueCodec head;
 
   ShardTableCodec(ValueCodecs codecs) {
-    this.head = codecs.forType(Head.class);
+    this.head = codecs.forType(EncodedShardTable.class);
   }
 
   @Override
@@ -34,7 +34,7 @@
     int[] movingFrom = Arrays.stream(moving).map(table::previousOwner).toArray();
     head.write(
         packer,
-        new Head(
+        new EncodedShardTable(
             table.cell(),
             table.version(),
             table.configRevision(),
@@ -50,7 +50,7 @@
 
   @Override
   public Object read(ValueReader reader) throws IOException {
-    Head read = (Head) head.read(reader);
+    EncodedShardTable read = (EncodedShardTable) head.read(reader);
     checkIndexes(read.owners(), read.targets().size());
     checkIndexes(read.standbys(), read.targets().size());
     checkIndexes(read.movingFrom(), read.targets().size());
@@ -67,7 +67,7 @@
         read.tokens());
   }
 
-  private static int[] previousOwners(Head read) {
+  private static int[] previousOwners(EncodedShardTable read) {
     int[] previous = new int[read.owners().length];
     Arrays.fill(previous, ShardTable.NOBODY);
     if (read.moving().length != read.movingFrom().length) {
@@ -92,7 +92,7 @@
   }
 
   /** The form of a table on the wire. */
-  public record Head(
+  public record EncodedShardTable(
       CellId cell,
       TableVersion version,
       long configRevision,
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/MutePeer.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/ScriptedPeer.java
@@ -10,13 +10,13 @@
 import java.net.Socket;
 
 /** A peer that knows the key and then does only what a test says. */
-final class MutePeer implements AutoCloseable {
+final class ScriptedPeer implements AutoCloseable {
 
   private final SharedKey key;
   private final ServerSocket server;
   private Socket socket;
 
-  MutePeer(SharedKey key) throws IOException {
+  ScriptedPeer(SharedKey key) throws IOException {
     this.key = key;
     this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   }
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/TcpPeerNetworkTest.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/TcpPeerNetworkTest.java
@@ -104,7 +104,7 @@
 
   @Test
   void peerThatStopsAnsweringIsSilentThoughConnected() throws Exception {
-    try (MutePeer mute = new MutePeer(KEY)) {
+    try (ScriptedPeer mute = new ScriptedPeer(KEY)) {
       Peer client = peer(KEY, 0, (sender, message) -> {});
       client.network.connect(mute.address());
       mute.acceptAndProveKey();
@@ -173,7 +173,7 @@
 
   @Test
   void badMessageClosesTheConnectionOnly() throws Exception {
-    try (MutePeer mute = new MutePeer(KEY)) {
+    try (ScriptedPeer mute = new ScriptedPeer(KEY)) {
       Peer client = peer(KEY, 0, (sender, message) -> {});
       client.network.connect(mute.address());
       mute.acceptAndProveKey();
@@ -186,7 +186,7 @@
 
   @Test
   void halfFrameIsNoMessage() throws Exception {
-    try (MutePeer mute = new MutePeer(KEY)) {
+    try (ScriptedPeer mute = new ScriptedPeer(KEY)) {
       Peer client = peer(KEY, 0, (sender, message) -> {});
       client.network.connect(mute.address());
       mute.acceptAndProveKey();
