--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/MessagePackTableCodec.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/MessagePackTableCodec.java
@@ -5,7 +5,7 @@
 import io.cuminvalve.core.authority.TermRecord;
 
 /**
- * Writes the records of the store as MessagePack.
+ * Encodes shard tables and term records for the store as MessagePack.
  *
  * @since 0.1
  */
@@ -16,7 +16,7 @@
   /**
    * Creates a codec.
    *
-   * @param codec writes records; not null
+   * @param codec encodes and decodes the records; not null
    */
   public MessagePackTableCodec(RecordCodec codec) {
     this.codec = codec;
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerAddress.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerAddress.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Turns the text of a peer's address into a socket address and back. Never looks up names.
+ * Parses and formats peer addresses. Never resolves host names.
  *
  * @since 0.1
  */
@@ -41,6 +41,6 @@
   }
 
   private static CodedException invalid(String text) {
-    return new CodedException(ErrorCode.INVALID_INPUT, "no IP address and port: " + text);
+    return new CodedException(ErrorCode.INVALID_INPUT, "not an IP address with a port: " + text);
   }
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerChannel.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerChannel.java
@@ -3,30 +3,29 @@
 import io.cuminvalve.core.protocol.PeerMessage;
 
 /**
- * A way to send messages to one peer.
+ * Sends messages to one peer.
  *
- * <p>Messages are sent in order, each at most once, without confirmation. Safe for use by several
- * threads.
+ * <p>Messages are sent in order and at most once, without acknowledgement. Thread-safe.
  *
  * @since 0.1
  */
 public interface PeerChannel {
 
   /**
-   * Returns the address on which the peer listens for its own peers.
+   * Returns the address of the peer's own listener.
    *
    * @return IP address and port, never null
    */
   String peerAddress();
 
   /**
-   * Queues a message. Never blocks.
+   * Queues a message for sending. Never blocks.
    *
-   * <p>The queue is bounded: when it is full, the oldest heartbeat or heartbeat reply is dropped
-   * first, else the oldest message.
+   * <p>The queue is bounded: when it is full, the oldest heartbeat or heartbeat reply is dropped,
+   * or the oldest message if there is none.
    *
    * @param message the message; not null
-   * @return false if the channel is closed, so that the message is dropped
+   * @return false if the channel is closed and the message was dropped
    */
   boolean send(PeerMessage message);
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerContext.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerContext.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What the links and inbound connections of one network share.
+ * State and services shared by the links and inbound connections of one peer network.
  *
  * @since 0.1
  */
@@ -71,7 +71,7 @@
 
   void enqueue(OutboundQueue queue, PeerMessage message) {
     boolean replaceable = message instanceof Heartbeat || message instanceof HeartbeatReply;
-    queue.add(frameOf(message), replaceable);
+    queue.add(encodeFrame(message), replaceable);
     sentCount.incrementAndGet();
   }
 
@@ -102,8 +102,11 @@
         inbound);
   }
 
-  /** Encodes a message once, however many peers it goes to in a row: tables are large. */
-  private byte[] frameOf(PeerMessage message) {
+  /**
+   * Returns the encoded frame of a message. The last frame is cached, so that a message sent to
+   * several peers in succession is encoded once; shard tables are large.
+   */
+  private byte[] encodeFrame(PeerMessage message) {
     EncodedMessage last = lastEncoded;
     if (last.message() == message) {
       return last.frame();
@@ -119,6 +122,6 @@
     return nonce;
   }
 
-  /** A message with its frame; the frame is never changed. */
+  /** A message and its encoded frame, which is never modified. */
   private record EncodedMessage(PeerMessage message, byte[] frame) {}
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerHandler.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerHandler.java
@@ -3,7 +3,7 @@
 import io.cuminvalve.core.protocol.PeerMessage;
 
 /**
- * Receives messages of peers.
+ * Receives messages from peers.
  *
  * @since 0.1
  */
@@ -11,9 +11,10 @@
 public interface PeerHandler {
 
   /**
-   * Takes a message, on the executor that the network was given, in the order of arrival.
+   * Handles a message. Called on the executor of the network, for each connection in the order of
+   * arrival.
    *
-   * @param sender where it came from; replies go there; not null
+   * @param sender the channel that the message arrived on, for replies; not null
    * @param message the message; not null
    */
   void onMessage(PeerChannel sender, PeerMessage message);
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerLink.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerLink.java
@@ -17,22 +17,22 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The link that this process keeps to one peer.
+ * The outgoing link of this process to one peer.
  *
- * <p>Connects, proves the shared key, keeps the connection alive and connects again. All but {@link
- * #send} and the plain questions run on the reactor's thread.
+ * <p>Connects, authenticates, sends keep-alive frames and reconnects. All methods except {@link
+ * #send} and the getters run on the reactor thread.
  *
  * @since 0.1
  */
 final class PeerLink implements PeerChannel, ConnectionListener {
 
-  /** A silent link is closed after this many times the span after which it counts as silent. */
+  /** A connection is closed after this multiple of {@code silentAfterMs} without an answer. */
   private static final int CLOSE_FACTOR = 4;
 
-  /** A link is given up once nobody has used it for this long. */
-  private static final long UNUSED_MS = 60_000;
+  /** A link is closed when no message was sent and no probe started for this long. */
+  private static final long MAX_UNUSED_MS = 60_000;
 
-  private static final long NEVER = -1;
+  private static final long NOT_WAITING = -1;
 
   private final PeerContext context;
   private final ReachabilityListener listener;
@@ -50,7 +50,7 @@
   private long attemptMs;
   private long nextAttemptMs;
   private long lastPingMs;
-  private long unansweredSinceMs = NEVER;
+  private long unansweredSinceMs = NOT_WAITING;
 
   PeerLink(
       PeerContext context,
@@ -93,9 +93,9 @@
     return queue.droppedCount();
   }
 
-  /** Tells whether the link may go: it leads to a peer that nobody has written to for long. */
+  /** Returns whether no message was sent and no probe started for {@link #MAX_UNUSED_MS}. */
   boolean isUnused(long nowMs) {
-    return nowMs - lastUsedMs >= UNUSED_MS;
+    return nowMs - lastUsedMs >= MAX_UNUSED_MS;
   }
 
   void probe(CompletableFuture<Reachability> result) {
@@ -104,7 +104,7 @@
     long boundMs = context.settings().connectTimeoutMs() + context.settings().silentAfterMs();
     probes.add(new Probe(result, nowMs + boundMs));
     if (isEstablished()) {
-      ping(nowMs);
+      sendPing(nowMs);
     } else if (connection == null) {
       connect(nowMs);
     }
@@ -120,10 +120,10 @@
       }
     } else if (!connection.isEstablished()) {
       if (nowMs - attemptMs >= context.settings().connectTimeoutMs()) {
-        connection.close(new CloseReason(CloseReason.Kind.SILENT, "no handshake in time"));
+        connection.close(new CloseReason(CloseReason.Kind.SILENT, "handshake timed out"));
       }
     } else {
-      watchForSilence(nowMs);
+      checkForSilence(nowMs);
     }
     expireProbes(nowMs);
   }
@@ -142,12 +142,12 @@
   public void onEstablished(Connection established) {
     backoff.reset();
     lastPingMs = context.clock().nowMs();
-    becameReachable();
+    markReachable();
   }
 
   @Override
-  public void onSignOfLife(Connection from) {
-    becameReachable();
+  public void onDataReceived(Connection from) {
+    markReachable();
   }
 
   @Override
@@ -161,36 +161,36 @@
     if (from != connection) {
       return;
     }
-    boolean worked = reachability == Reachability.CONNECTED;
+    boolean wasConnected = reachability == Reachability.CONNECTED;
     connection = null;
-    unansweredSinceMs = NEVER;
+    unansweredSinceMs = NOT_WAITING;
     long nowMs = context.clock().nowMs();
-    if (reason.kind() == CloseReason.Kind.LOST && worked) {
-      // Whether the peer is gone shows at once: its host refuses the next connection.
+    if (reason.kind() == CloseReason.Kind.LOST && wasConnected) {
+      // Reconnect at once to detect a stopped peer: its host refuses the new connection.
       nextAttemptMs = nowMs;
       return;
     }
     nextAttemptMs = nowMs + backoff.nextMs();
     queue.clear();
-    settle(afterFailure(reason));
+    updateReachability(reachabilityAfter(reason));
   }
 
-  private Reachability afterFailure(CloseReason reason) {
+  private Reachability reachabilityAfter(CloseReason reason) {
     return switch (reason.kind()) {
       case REFUSED -> Reachability.REFUSED;
-      case PROTOCOL, LOST -> rejected();
+      case PROTOCOL, LOST -> countRejected();
       case SILENT, LOCAL -> Reachability.SILENT;
     };
   }
 
-  private Reachability rejected() {
+  private Reachability countRejected() {
     context.countRejected();
     return Reachability.REJECTED;
   }
 
   private void connect(long nowMs) {
     attemptMs = nowMs;
-    unansweredSinceMs = NEVER;
+    unansweredSinceMs = NOT_WAITING;
     try {
       SocketChannel channel = SocketChannel.open();
       channel.configureBlocking(false);
@@ -202,11 +202,11 @@
       channel.connect(socketAddress);
       opened.register(context.reactor());
     } catch (IOException | CodedException failure) {
-      failConnect(failure);
+      handleConnectFailure(failure);
     }
   }
 
-  private void failConnect(Exception failure) {
+  private void handleConnectFailure(Exception failure) {
     if (connection != null) {
       connection.close(CloseReason.ofConnectFailure(failure));
     } else {
@@ -214,45 +214,45 @@
     }
   }
 
-  private void watchForSilence(long nowMs) {
+  private void checkForSilence(long nowMs) {
     if (nowMs - lastPingMs >= context.settings().keepAliveMs()) {
-      ping(nowMs);
+      sendPing(nowMs);
     }
-    if (unansweredSinceMs == NEVER) {
+    if (unansweredSinceMs == NOT_WAITING) {
       return;
     }
     long silentMs = nowMs - unansweredSinceMs;
     if (silentMs >= CLOSE_FACTOR * context.settings().silentAfterMs()) {
-      connection.close(new CloseReason(CloseReason.Kind.SILENT, "no sign of life"));
+      connection.close(new CloseReason(CloseReason.Kind.SILENT, "no data received in time"));
     } else if (silentMs >= context.settings().silentAfterMs()) {
-      settle(Reachability.SILENT);
+      updateReachability(Reachability.SILENT);
     }
   }
 
-  private void ping(long nowMs) {
+  private void sendPing(long nowMs) {
     lastPingMs = nowMs;
-    if (unansweredSinceMs == NEVER) {
+    if (unansweredSinceMs == NOT_WAITING) {
       unansweredSinceMs = nowMs;
     }
     connection.sendKeepAlive();
   }
 
-  private void becameReachable() {
-    unansweredSinceMs = NEVER;
-    settle(Reachability.CONNECTED);
+  private void markReachable() {
+    unansweredSinceMs = NOT_WAITING;
+    updateReachability(Reachability.CONNECTED);
   }
 
-  private void settle(Reachability found) {
-    completeProbes(found);
-    if (reachability != found && !closed) {
-      reachability = found;
-      context.executor().execute(() -> listener.onChange(peerAddress, found));
+  private void updateReachability(Reachability newReachability) {
+    completeProbes(newReachability);
+    if (reachability != newReachability && !closed) {
+      reachability = newReachability;
+      context.executor().execute(() -> listener.onChange(peerAddress, newReachability));
     }
   }
 
-  private void completeProbes(Reachability found) {
+  private void completeProbes(Reachability newReachability) {
     for (Probe probe : probes) {
-      context.executor().execute(() -> probe.result().complete(found));
+      context.executor().execute(() -> probe.result().complete(newReachability));
     }
     probes.clear();
   }
@@ -273,6 +273,6 @@
     }
   }
 
-  /** Somebody who waits to hear whether the peer lives. */
+  /** A pending check whether the peer is reachable. */
   private record Probe(CompletableFuture<Reachability> result, long deadlineMs) {}
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerMessageTypes.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerMessageTypes.java
@@ -61,9 +61,9 @@
 import java.util.Map;
 
 /**
- * The number of each message type on the wire.
+ * Assigns each message type its id on the wire.
  *
- * <p>Numbers are part of the protocol: never change or reuse one.
+ * <p>The ids are part of the protocol: never change or reuse one.
  *
  * @since 0.1
  */
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerNetwork.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerNetwork.java
@@ -5,9 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Carries messages between the processes of an installation.
- *
- * <p>Safe for use by several threads.
+ * Sends and receives messages between the processes of an installation. Thread-safe.
  *
  * @since 0.1
  */
@@ -21,11 +19,10 @@
   String localAddress();
 
   /**
-   * Sends a message to a peer, over one link that is opened when first needed and kept.
+   * Sends a message to a peer. All messages to a peer share one link, which is opened on first use.
    *
-   * <p>The link connects again by itself, with growing pauses, and is given up once it has not been
-   * used for a minute. Messages that wait for it are bounded as described at {@link
-   * PeerChannel#send}.
+   * <p>A broken link reconnects with increasing back-off, and is closed after one minute without
+   * use. The queue of outgoing messages is bounded as described at {@link PeerChannel#send}.
    *
    * @param peerAddress IP address and port of the peer's listener; not null
    * @param message the message; not null
@@ -33,40 +30,40 @@
   void send(String peerAddress, PeerMessage message);
 
   /**
-   * Opens a link without sending anything, to learn whether the peer lives.
+   * Opens a link without sending a message, to monitor whether the peer is reachable.
    *
    * @param peerAddress IP address and port of the peer's listener; not null
    */
   void connect(String peerAddress);
 
   /**
-   * Returns what is known of a link.
+   * Returns the reachability of a peer.
    *
    * @param peerAddress IP address and port of the peer's listener; not null
-   * @return UNKNOWN if there is no such link; never null
+   * @return UNKNOWN if there is no link to the peer; never null
    */
   Reachability reachability(String peerAddress);
 
   /**
-   * Finds out now whether a peer lives, over its link, which is opened if need be.
+   * Checks whether a peer is reachable, over its link, which is opened if necessary.
    *
    * @param peerAddress IP address and port of the peer's listener; not null
    * @return CONNECTED, REFUSED, REJECTED or SILENT; completes normally within a bounded time, on
-   *     the executor that the network was given
+   *     the executor of the network
    */
   CompletableFuture<Reachability> probe(String peerAddress);
 
   /**
-   * Returns what the network counted since its start.
+   * Returns the counters of the network since its start.
    *
    * @return never null
    */
   PeerNetworkCounters counters();
 
   /**
-   * Closes every link that leads to none of the given peers.
+   * Closes the links to all peers other than the given ones.
    *
-   * @param peerAddresses the peers to keep; not null
+   * @param peerAddresses the peers whose links are kept; not null
    */
   void retain(Set<String> peerAddresses);
 
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerNetworkCounters.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerNetworkCounters.java
@@ -1,14 +1,15 @@
 package io.cuminvalve.wire;
 
 /**
- * What a network of peers counted since its start.
+ * Counters of a peer network since its start.
  *
- * @param messagesSent messages handed to a link or channel
- * @param messagesReceived messages that arrived
- * @param messagesDropped messages dropped because a queue was full or a peer out of reach
- * @param connectionsRejected connections closed for a broken protocol or a wrong key
- * @param links links that are open or being opened
- * @param inbound connections that peers opened
+ * @param messagesSent messages queued on a link or channel
+ * @param messagesReceived messages received
+ * @param messagesDropped messages dropped because a queue was full or a peer was unreachable
+ * @param connectionsRejected connections that failed the handshake, violated the protocol or
+ *     exceeded the limit of connections or file descriptors
+ * @param links outgoing links, connected or connecting
+ * @param inbound open connections that were accepted from peers
  * @since 0.1
  */
 public record PeerNetworkCounters(
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerNetworkSettings.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerNetworkSettings.java
@@ -3,17 +3,18 @@
 import io.cuminvalve.kernel.SharedKey;
 
 /**
- * How a process takes part in the network of peers.
+ * Settings of the peer network of a process.
  *
  * @param bindHost the IP address to listen on; not null
- * @param bindPort the port to listen on; 0 for any free one
- * @param sharedKey proves that a peer belongs to the installation; not null
- * @param connectTimeoutMs how long to wait for a connection and its handshake; milliseconds
- * @param keepAliveMs pause between signs of life on an idle link; milliseconds
- * @param silentAfterMs how long a link may be quiet before the peer counts as silent; milliseconds
- * @param backoffMinMs the shortest pause before connecting again; milliseconds
- * @param backoffMaxMs the longest pause before connecting again; milliseconds
- * @param queueCapacity how many messages may wait per link; at least 1
+ * @param bindPort the port to listen on; 0 for any free port
+ * @param sharedKey authenticates the peers of an installation; not null
+ * @param connectTimeoutMs timeout of connecting and of the handshake; milliseconds
+ * @param keepAliveMs interval between keep-alive frames on a link; milliseconds
+ * @param silentAfterMs time without data after a keep-alive frame was sent, after which the peer is
+ *     reported as silent; milliseconds
+ * @param backoffMinMs minimum back-off before reconnecting; milliseconds
+ * @param backoffMaxMs maximum back-off before reconnecting; milliseconds
+ * @param queueCapacity maximum number of queued outgoing messages per connection; at least 1
  * @since 0.1
  */
 public record PeerNetworkSettings(
@@ -28,11 +29,11 @@
     int queueCapacity) {
 
   /**
-   * Returns settings with the usual times.
+   * Returns settings with the default timings and queue capacity.
    *
    * @param bindHost the IP address to listen on; not null
-   * @param bindPort the port to listen on; 0 for any free one
-   * @param sharedKey proves that a peer belongs to the installation; not null
+   * @param bindPort the port to listen on; 0 for any free port
+   * @param sharedKey authenticates the peers of an installation; not null
    * @return never null
    */
   public static PeerNetworkSettings usual(String bindHost, int bindPort, SharedKey sharedKey) {
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerServer.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerServer.java
@@ -20,16 +20,17 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Accepts connections of peers. All but {@link #localAddress} runs on the reactor's thread.
+ * Accepts connections from peers. All methods except the constructor, {@link #localAddress} and the
+ * counters run on the reactor thread.
  *
  * @since 0.1
  */
 final class PeerServer {
 
-  /** More connections than this are closed at once. */
+  /** The maximum number of inbound connections; further ones are closed on accept. */
   static final int MAX_CONNECTIONS = 4096;
 
-  /** A connection is closed after this many times the span after which a link counts as silent. */
+  /** A connection is closed after receiving nothing for this multiple of {@code silentAfterMs}. */
   private static final int IDLE_FACTOR = 20;
 
   private static final int BACKLOG = 256;
@@ -51,7 +52,7 @@
     } catch (IOException failure) {
       throw new CodedException(
           ErrorCode.UNAVAILABLE,
-          "peer port cannot be opened: " + settings.bindHost() + ":" + settings.bindPort(),
+          "cannot bind peer listener: " + settings.bindHost() + ":" + settings.bindPort(),
           failure);
     }
   }
@@ -78,7 +79,7 @@
     try {
       listener.close();
     } catch (IOException ignored) {
-      // The process is stopping.
+      // The server is shutting down; nothing depends on this listener any more.
     }
     for (InboundConnection peer : List.copyOf(inbound)) {
       peer.connection.close(new CloseReason(CloseReason.Kind.LOCAL, "closed"));
@@ -93,7 +94,7 @@
         serve(channel);
       }
     } catch (IOException exhausted) {
-      // The process has no descriptors left: the peer tries again.
+      // The process has run out of file descriptors; the peer will reconnect.
       context.countRejected();
     }
   }
@@ -111,13 +112,13 @@
     peer.connection.register(context.reactor());
   }
 
-  /** A connection that a peer opened. */
+  /** A connection opened by a peer. */
   private final class InboundConnection implements PeerChannel, ConnectionListener {
 
     private final OutboundQueue queue = new OutboundQueue(context.settings().queueCapacity());
     private final Connection connection;
     private final Delivery delivery;
-    private long lastHeardMs = context.clock().nowMs();
+    private long lastReceivedMs = context.clock().nowMs();
     private volatile boolean closed;
 
     InboundConnection(SocketChannel channel) {
@@ -143,21 +144,21 @@
     void tick(long nowMs) {
       boolean established = connection.isEstablished();
       PeerNetworkSettings settings = context.settings();
-      long boundMs =
+      long timeoutMs =
           established ? IDLE_FACTOR * settings.silentAfterMs() : settings.connectTimeoutMs();
-      if (nowMs - lastHeardMs >= boundMs) {
-        connection.close(new CloseReason(CloseReason.Kind.SILENT, "no sign of life"));
+      if (nowMs - lastReceivedMs >= timeoutMs) {
+        connection.close(new CloseReason(CloseReason.Kind.SILENT, "no data received in time"));
       }
     }
 
     @Override
     public void onEstablished(Connection established) {
-      lastHeardMs = context.clock().nowMs();
+      lastReceivedMs = context.clock().nowMs();
     }
 
     @Override
-    public void onSignOfLife(Connection from) {
-      lastHeardMs = context.clock().nowMs();
+    public void onDataReceived(Connection from) {
+      lastReceivedMs = context.clock().nowMs();
     }
 
     @Override
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/Reachability.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/Reachability.java
@@ -1,19 +1,19 @@
 package io.cuminvalve.wire;
 
 /**
- * What a process knows of its link to a peer.
+ * The state of the link to a peer.
  *
  * @since 0.1
  */
 public enum Reachability {
-  /** Nothing is known yet. */
+  /** No attempt to connect has finished yet. */
   UNKNOWN,
-  /** The peer proved the shared key and answers. */
+  /** The peer is authenticated and responds. */
   CONNECTED,
-  /** The last attempt to connect was refused: the host answers and no process listens. */
+  /** The last connection attempt was refused: the host is up, but no process listens. */
   REFUSED,
-  /** Neither an answer nor a refusal came in time. */
+  /** The peer neither responded nor refused the connection in time. */
   SILENT,
-  /** The peer answered but did not prove the shared key or broke the protocol. */
+  /** The peer responded, but failed authentication or violated the protocol. */
   REJECTED
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/ReachabilityListener.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/ReachabilityListener.java
@@ -1,7 +1,7 @@
 package io.cuminvalve.wire;
 
 /**
- * Learns when a link to a peer changes.
+ * Receives changes of the reachability of peers.
  *
  * @since 0.1
  */
@@ -9,10 +9,10 @@
 public interface ReachabilityListener {
 
   /**
-   * Takes a change, on the executor that the network was given.
+   * Handles a change; called on the executor of the network.
    *
-   * @param peerAddress the address that the link leads to; not null
-   * @param reachability what is known now; not null
+   * @param peerAddress the address of the peer; not null
+   * @param reachability the new state; not null
    */
   void onChange(String peerAddress, Reachability reachability);
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/RecordCodec.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/RecordCodec.java
@@ -16,11 +16,11 @@
 /**
  * Encodes records as MessagePack arrays.
  *
- * <p>A message is the array {@code [typeId, component...]}. Components are ids, numbers, strings,
- * enums, lists, primitive arrays, shard tables and nested records. Components may be appended to a
- * record: a receiver ignores those that it does not know and takes zero, false, or empty for those
- * that an older sender leaves out. Decoding never allocates by a claimed length that the input does
- * not back. Safe for use by several threads.
+ * <p>A message is encoded as an array of its type id and its record. Components are ids, numbers,
+ * strings, enums, lists, primitive arrays, shard tables and nested records. New components may be
+ * appended to a record: a receiver skips components that it does not know, and uses zero, false or
+ * an empty value for those that an older sender omits. Decoding checks every declared length
+ * against the remaining input before it allocates memory. Thread-safe.
  *
  * @since 0.1
  */
@@ -38,17 +38,17 @@
   }
 
   /**
-   * Encodes a message with its type.
+   * Encodes a message with its type id.
    *
    * @param message the message; not null
-   * @return its bytes
-   * @throws CodedException with code INTERNAL if its type has no id
+   * @return the encoded message
+   * @throws CodedException with code INTERNAL if the message type has no id
    */
   public byte[] encodeMessage(PeerMessage message) {
     Integer id = idsByType.get(message.getClass());
     if (id == null) {
       throw new CodedException(
-          ErrorCode.INTERNAL, "no type id for " + message.getClass().getName());
+          ErrorCode.INTERNAL, "no type id registered for " + message.getClass().getName());
     }
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packArrayHeader(2);
@@ -56,16 +56,16 @@
       codecs.forType(message.getClass()).write(packer, message);
       return packer.toByteArray();
     } catch (IOException impossible) {
-      throw new CodedException(ErrorCode.INTERNAL, "a message cannot be encoded", impossible);
+      throw new CodedException(ErrorCode.INTERNAL, "cannot encode message", impossible);
     }
   }
 
   /**
    * Decodes a message.
    *
-   * @param bytes from {@link #encodeMessage}, or anything; not null
+   * @param bytes the encoded message, which may be malformed; not null
    * @return never null
-   * @throws CodedException with code PROTOCOL if the bytes are no known message
+   * @throws CodedException with code PROTOCOL if the bytes are malformed or of unknown type
    */
   public PeerMessage decodeMessage(byte[] bytes) {
     return read(
@@ -81,28 +81,28 @@
   }
 
   /**
-   * Encodes a record without its type.
+   * Encodes a record without a type id.
    *
    * @param value the record; not null
-   * @return its bytes
+   * @return the encoded record
    */
   public byte[] encode(Record value) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       codecs.forType(value.getClass()).write(packer, value);
       return packer.toByteArray();
     } catch (IOException impossible) {
-      throw new CodedException(ErrorCode.INTERNAL, "a record cannot be encoded", impossible);
+      throw new CodedException(ErrorCode.INTERNAL, "cannot encode record", impossible);
     }
   }
 
   /**
    * Decodes a record.
    *
-   * @param bytes from {@link #encode}, or anything; not null
-   * @param type the type to read; not null
-   * @param <T> the type to read
+   * @param bytes the encoded record, which may be malformed; not null
+   * @param type the record type; not null
+   * @param <T> the record type
    * @return never null
-   * @throws CodedException with code PROTOCOL if the bytes do not fit the type
+   * @throws CodedException with code PROTOCOL if the bytes do not match the type
    */
   public <T extends Record> T decode(byte[] bytes, Class<T> type) {
     ValueCodec codec = codecs.forType(type);
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/TcpPeerNetwork.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/TcpPeerNetwork.java
@@ -16,11 +16,10 @@
 import org.tinylog.Logger;
 
 /**
- * A network of peers over TCP.
+ * A {@link PeerNetwork} over TCP.
  *
- * <p>One thread reads and writes all connections; messages are handled on the executor that the
- * network is given. The listener is open once the constructor returns; nothing is accepted before
- * {@link #start()}.
+ * <p>One thread reads and writes all connections; messages are handled on the given executor. The
+ * constructor binds the listener; connections are accepted from {@link #start()} on.
  *
  * @since 0.1
  */
@@ -35,15 +34,15 @@
   private volatile boolean closed;
 
   /**
-   * Opens the listener.
+   * Binds the listener.
    *
-   * @param settings how the process takes part; not null
+   * @param settings addresses, shared key, timings and limits; not null
    * @param handler receives messages; not null
-   * @param listener learns when a link changes; not null
-   * @param executor runs handler and listener; not null
-   * @param clock measures silence and pauses; not null
-   * @param random shortens the pauses before connecting again; not null
-   * @throws CodedException with code UNAVAILABLE if the port cannot be had
+   * @param listener receives changes of reachability; not null
+   * @param executor runs the handler and the listener; not null
+   * @param clock measures timeouts and back-off; not null
+   * @param random source of jitter for the reconnect back-off; not null
+   * @throws CodedException with code UNAVAILABLE if the port cannot be bound
    */
   public TcpPeerNetwork(
       PeerNetworkSettings settings,
@@ -59,7 +58,7 @@
     this.server = new PeerServer(context);
   }
 
-  /** Starts to accept connections and to open links. */
+  /** Starts to accept connections and to connect to peers. */
   public void start() {
     reactor.start();
   }
@@ -134,8 +133,8 @@
     try {
       return Optional.of(links.computeIfAbsent(peerAddress, this::open));
     } catch (CodedException unusable) {
-      // Addresses come from other processes: a wrong one must not stop this process.
-      Logger.warn("No link to peer: {}", unusable.getMessage());
+      // Addresses come from other processes: an invalid one must not fail the caller.
+      Logger.warn("Cannot open link to peer: {}", unusable.getMessage());
       return Optional.empty();
     }
   }
@@ -143,7 +142,7 @@
   private PeerLink open(String peerAddress) {
     PeerNetworkSettings settings = context.settings();
     if (links.size() >= PeerServer.MAX_CONNECTIONS) {
-      throw new CodedException(ErrorCode.UNAVAILABLE, "too many links to peers");
+      throw new CodedException(ErrorCode.UNAVAILABLE, "too many links to peers: limit reached");
     }
     Backoff backoff = new Backoff(settings.backoffMinMs(), settings.backoffMaxMs(), random);
     return new PeerLink(context, listener, localAddress(), peerAddress, backoff);
@@ -153,7 +152,7 @@
     long nowMs = context.clock().nowMs();
     for (PeerLink link : links.values()) {
       if (link.isUnused(nowMs)) {
-        // Peers are replaced for ever: links to those that are gone must not pile up.
+        // Peers are replaced over time; links to stopped peers must not accumulate.
         links.remove(link.peerAddress(), link);
         link.close();
       } else {
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ArrayCodecs.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ArrayCodecs.java
@@ -6,7 +6,7 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * Codecs of primitive arrays.
+ * Codecs for primitive arrays.
  *
  * @since 0.1
  */
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/Connection.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/Connection.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /**
- * One connection to a peer, as client or as server; only for the reactor's thread.
+ * A connection to a peer, as client or server. Confined to the reactor thread.
  *
  * @since 0.1
  */
@@ -24,39 +24,39 @@
   private final ConnectionListener listener;
   private final FrameDecoder decoder = new FrameDecoder(Handshake.MAX_FRAME_BYTES);
   private final ByteBuffer input = ByteBuffer.allocate(READ_BYTES);
-  private final OutboundQueue urgent = new OutboundQueue(8);
+  private final OutboundQueue controlFrames = new OutboundQueue(8);
   private SelectionKey key;
   private ByteBuffer partlyWritten;
-  private boolean answersKeepAlive;
+  private boolean echoesKeepAlive;
   private boolean readPaused;
   private boolean closed;
 
   /**
    * Creates a connection.
    *
-   * @param channel connected or connecting, in non-blocking mode; not null
-   * @param handshake this side of the handshake; not null
-   * @param queue what waits to be sent once the handshake is done; not null
-   * @param answersKeepAlive whether empty frames are answered by empty frames
-   * @param listener learns what happens; not null
+   * @param channel a connected or connecting channel in non-blocking mode; not null
+   * @param handshake the handshake of this side; not null
+   * @param queue the frames to send after the handshake; not null
+   * @param echoesKeepAlive whether keep-alive (empty) frames are answered with one
+   * @param listener receives the events of the connection; not null
    */
   public Connection(
       SocketChannel channel,
       Handshake handshake,
       OutboundQueue queue,
-      boolean answersKeepAlive,
+      boolean echoesKeepAlive,
       ConnectionListener listener) {
     this.channel = channel;
     this.handshake = handshake;
     this.queue = queue;
-    this.answersKeepAlive = answersKeepAlive;
+    this.echoesKeepAlive = echoesKeepAlive;
     this.listener = listener;
   }
 
   /**
-   * Registers the connection.
+   * Registers the connection with a reactor.
    *
-   * @param reactor the thread that serves it; not null
+   * @param reactor reads and writes the connection; not null
    * @throws IOException if the channel is closed
    */
   public void register(Reactor reactor) throws IOException {
@@ -65,16 +65,16 @@
   }
 
   /**
-   * Tells whether the peer has proved the shared key.
+   * Returns whether the connection is open and the peer is authenticated.
    *
-   * @return true once messages may pass
+   * @return true if messages can be exchanged
    */
   public boolean isEstablished() {
     return !closed && handshake.isDone();
   }
 
   /**
-   * Returns the address that the client announced.
+   * Returns the listener address that the client announced.
    *
    * @return IP address and port, never null
    */
@@ -82,13 +82,13 @@
     return handshake.clientAddress();
   }
 
-  /** Asks the peer for a sign of life. */
+  /** Sends a keep-alive frame. */
   public void sendKeepAlive() {
-    urgent.add(FrameDecoder.frame(KEEP_ALIVE), true);
+    controlFrames.add(FrameDecoder.frame(KEEP_ALIVE), true);
     flush();
   }
 
-  /** Sends what waits, as far as the network takes it. */
+  /** Writes queued frames until the socket buffer is full. */
   public void flush() {
     if (closed || key == null || !channel.isConnected()) {
       return;
@@ -102,24 +102,24 @@
   }
 
   /**
-   * Stops or resumes reading, so that a fast sender cannot fill the memory.
+   * Pauses or resumes reading, so that a fast sender cannot exhaust the memory.
    *
-   * @param paused whether to stop
+   * @param paused true to pause, false to resume
    */
   public void pauseReading(boolean paused) {
     readPaused = paused;
     if (!closed && channel.isConnected()) {
       setInterest(SelectionKey.OP_READ, !paused);
       if (!paused) {
-        guardedRead();
+        readOrClose();
       }
     }
   }
 
   /**
-   * Closes the connection and tells the listener, once.
+   * Closes the connection and notifies the listener. Idempotent.
    *
-   * @param reason why; not null
+   * @param reason the reason; not null
    */
   public void close(CloseReason reason) {
     if (closed) {
@@ -129,7 +129,7 @@
     try {
       channel.close();
     } catch (IOException ignored) {
-      // The connection is given up either way.
+      // The connection is discarded in any case.
     }
     listener.onClosed(this, reason);
   }
@@ -142,7 +142,7 @@
       finishConnect();
     }
     if (!closed && key.isReadable()) {
-      guardedRead();
+      readOrClose();
     }
     if (!closed && key.isWritable()) {
       flush();
@@ -153,14 +153,14 @@
     try {
       channel.finishConnect();
       key.interestOps(SelectionKey.OP_READ);
-      urgent.add(FrameDecoder.frame(handshake.hello()), false);
+      controlFrames.add(FrameDecoder.frame(handshake.hello()), false);
       flush();
     } catch (IOException failure) {
       close(CloseReason.ofConnectFailure(failure));
     }
   }
 
-  private void guardedRead() {
+  private void readOrClose() {
     try {
       read();
     } catch (IOException failure) {
@@ -201,21 +201,21 @@
     if (!handshake.isDone()) {
       continueHandshake(frame);
     } else if (frame.length == 0) {
-      if (answersKeepAlive) {
+      if (echoesKeepAlive) {
         sendKeepAlive();
       }
-      listener.onSignOfLife(this);
+      listener.onDataReceived(this);
     } else {
-      listener.onSignOfLife(this);
+      listener.onDataReceived(this);
       listener.onFrame(this, frame);
     }
   }
 
   private void continueHandshake(byte[] frame) {
     Optional<byte[]> reply = handshake.onFrame(frame);
-    reply.ifPresent(content -> urgent.add(FrameDecoder.frame(content), false));
+    reply.ifPresent(content -> controlFrames.add(FrameDecoder.frame(content), false));
     if (handshake.isDone()) {
-      decoder.limitTo(FrameDecoder.MAX_FRAME_BYTES);
+      decoder.setMaxFrameBytes(FrameDecoder.MAX_FRAME_BYTES);
       listener.onEstablished(this);
     }
     flush();
@@ -238,7 +238,7 @@
   }
 
   private ByteBuffer nextToWrite() {
-    ByteBuffer first = urgent.poll();
+    ByteBuffer first = controlFrames.poll();
     if (first != null || !handshake.isDone()) {
       return first;
     }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ConnectionListener.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ConnectionListener.java
@@ -1,40 +1,41 @@
 package io.cuminvalve.wire.internal;
 
 /**
- * Learns what happens on a connection, on the reactor's thread.
+ * Receives the events of a connection, on the reactor thread.
  *
  * @since 0.1
  */
 public interface ConnectionListener {
 
   /**
-   * The peer has proved the shared key.
+   * The handshake is complete: the peer is authenticated.
    *
    * @param connection the connection; not null
    */
   void onEstablished(Connection connection);
 
   /**
-   * Something arrived.
+   * A frame arrived, which may be a keep-alive frame.
    *
    * @param connection the connection; not null
    */
-  void onSignOfLife(Connection connection);
+  void onDataReceived(Connection connection);
 
   /**
    * A message arrived.
    *
    * @param connection the connection; not null
-   * @param frame its content; not null, not empty
-   * @throws io.cuminvalve.kernel.CodedException with code PROTOCOL to close the connection
+   * @param frame the encoded message; not null, not empty
+   * @throws io.cuminvalve.kernel.CodedException with code PROTOCOL if the message is invalid; the
+   *     connection is then closed
    */
   void onFrame(Connection connection, byte[] frame);
 
   /**
-   * The connection is closed.
+   * The connection was closed.
    *
    * @param connection the connection; not null
-   * @param reason why; not null
+   * @param reason the reason; not null
    */
   void onClosed(Connection connection, CloseReason reason);
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/Delivery.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/Delivery.java
@@ -4,14 +4,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Hands the messages of one connection to the receiver's executor and stops reading while too many
- * of them wait there.
+ * Passes the messages of one connection to an executor, and pauses reading while too many of them
+ * are pending there.
  *
  * @since 0.1
  */
 public final class Delivery {
 
-  /** How many messages of one connection may wait. */
+  /** The number of pending messages of one connection at which reading is paused. */
   public static final int MAX_PENDING = 256;
 
   private final Executor executor;
@@ -21,10 +21,10 @@
   private boolean paused;
 
   /**
-   * Creates a delivery without messages.
+   * Creates a delivery without pending messages.
    *
-   * @param executor where messages are handled; not null
-   * @param reactor the thread that reads; not null
+   * @param executor runs the message handlers; not null
+   * @param reactor the thread that reads the connection; not null
    * @param connection the connection to pause; not null
    */
   public Delivery(Executor executor, Reactor reactor, Connection connection) {
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Hands over one message; only on the reactor's thread.
+   * Passes on one message. Must be called on the reactor thread.
    *
    * @param handling handles the message; not null
    */
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/FrameDecoder.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/FrameDecoder.java
@@ -7,99 +7,101 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of bytes into frames: four bytes of length, then the content.
+ * Splits a byte stream into frames: a length of four bytes, big-endian, then the content.
  *
- * <p>Memory grows with the bytes that arrived, never with the length that a frame claims. Not safe
- * for use by several threads.
+ * <p>The buffer grows with the bytes received, never with the declared length of a frame. Not
+ * thread-safe.
  *
  * @since 0.1
  */
 public final class FrameDecoder {
 
-  /** The longest content of a frame, in bytes. */
+  /** The maximum length of the content of a frame, in bytes. */
   public static final int MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
-  /** The length of the length, in bytes. */
+  /** The size of the length prefix, in bytes. */
   public static final int HEADER_BYTES = 4;
 
   private static final int INITIAL_BYTES = 4096;
 
   private byte[] buffer = new byte[INITIAL_BYTES];
-  private int filled;
-  private int consumed;
+  private int writeIndex;
+  private int readIndex;
   private int maxFrameBytes;
 
   /**
    * Creates a decoder.
    *
-   * @param maxFrameBytes the longest content to accept at first
+   * @param maxFrameBytes the initial maximum length of the content of a frame, in bytes
    */
   public FrameDecoder(int maxFrameBytes) {
     this.maxFrameBytes = maxFrameBytes;
   }
 
   /**
-   * Changes the longest content to accept.
+   * Changes the maximum length of the content of a frame.
    *
    * @param bytes at most {@link #MAX_FRAME_BYTES}
    */
-  public void limitTo(int bytes) {
+  public void setMaxFrameBytes(int bytes) {
     maxFrameBytes = bytes;
   }
 
   /**
-   * Takes bytes that arrived.
+   * Appends received bytes.
    *
-   * @param bytes the bytes, consumed whole; not null
+   * @param bytes the bytes, consumed completely; not null
    */
   public void append(ByteBuffer bytes) {
     int count = bytes.remaining();
-    makeRoom(count);
-    bytes.get(buffer, filled, count);
-    filled += count;
+    ensureCapacity(count);
+    bytes.get(buffer, writeIndex, count);
+    writeIndex += count;
   }
 
   /**
-   * Returns the next frame that is complete.
+   * Returns the next complete frame.
    *
-   * @return its content, or empty if more bytes are needed
-   * @throws CodedException with code PROTOCOL if the frame claims to be longer than accepted
+   * @return the content of the frame, or empty if more bytes are needed
+   * @throws CodedException with code PROTOCOL if the declared length is negative or exceeds the
+   *     maximum
    */
   public Optional<byte[]> next() {
-    if (filled - consumed < HEADER_BYTES) {
+    if (writeIndex - readIndex < HEADER_BYTES) {
       return Optional.empty();
     }
-    int length = ByteBuffer.wrap(buffer, consumed, HEADER_BYTES).getInt();
+    int length = ByteBuffer.wrap(buffer, readIndex, HEADER_BYTES).getInt();
     if (length < 0 || length > maxFrameBytes) {
-      throw new CodedException(ErrorCode.PROTOCOL, "frame of " + length + " bytes");
+      throw new CodedException(ErrorCode.PROTOCOL, "invalid frame length: " + length + " bytes");
     }
-    if (filled - consumed - HEADER_BYTES < length) {
+    if (writeIndex - readIndex - HEADER_BYTES < length) {
       return Optional.empty();
     }
-    int start = consumed + HEADER_BYTES;
-    consumed = start + length;
-    return Optional.of(Arrays.copyOfRange(buffer, start, consumed));
+    int start = readIndex + HEADER_BYTES;
+    readIndex = start + length;
+    return Optional.of(Arrays.copyOfRange(buffer, start, readIndex));
   }
 
   /**
-   * Returns how much memory the decoder holds.
+   * Returns the size of the buffer.
    *
-   * @return bytes
+   * @return the size in bytes
    */
   public int capacityBytes() {
     return buffer.length;
   }
 
   /**
-   * Puts a length before a content.
+   * Encodes a frame.
    *
-   * @param content at most {@link #MAX_FRAME_BYTES} long; not null
-   * @return the frame
+   * @param content the content, at most {@link #MAX_FRAME_BYTES} bytes; not null
+   * @return the frame with its length prefix
    * @throws CodedException with code PROTOCOL if the content is too long
    */
   public static byte[] frame(byte[] content) {
     if (content.length > MAX_FRAME_BYTES) {
-      throw new CodedException(ErrorCode.PROTOCOL, "message of " + content.length + " bytes");
+      throw new CodedException(
+          ErrorCode.PROTOCOL, "message too long: " + content.length + " bytes");
     }
     return ByteBuffer.allocate(HEADER_BYTES + content.length)
         .putInt(content.length)
@@ -107,20 +109,20 @@
         .array();
   }
 
-  private void makeRoom(int count) {
-    int kept = filled - consumed;
-    if (filled + count <= buffer.length) {
+  private void ensureCapacity(int count) {
+    int unreadBytes = writeIndex - readIndex;
+    if (writeIndex + count <= buffer.length) {
       return;
     }
     byte[] target = buffer;
-    if (kept + count > buffer.length) {
-      target = new byte[Math.max(kept + count, 2 * kept)];
-    } else if (buffer.length > INITIAL_BYTES && kept + count <= INITIAL_BYTES) {
+    if (unreadBytes + count > buffer.length) {
+      target = new byte[Math.max(unreadBytes + count, 2 * unreadBytes)];
+    } else if (buffer.length > INITIAL_BYTES && unreadBytes + count <= INITIAL_BYTES) {
       target = new byte[INITIAL_BYTES];
     }
-    System.arraycopy(buffer, consumed, target, 0, kept);
+    System.arraycopy(buffer, readIndex, target, 0, unreadBytes);
     buffer = target;
-    filled = kept;
-    consumed = 0;
+    writeIndex = unreadBytes;
+    readIndex = 0;
   }
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/Handshake.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/Handshake.java
@@ -16,18 +16,18 @@
 import org.msgpack.core.MessagePackException;
 
 /**
- * Proves on a new connection that both sides know the shared key.
+ * Mutual authentication of a new connection by means of the shared key.
  *
- * <p>The client sends its protocol version, nonce and address; the server answers with its own
- * nonce and a code over both; the client closes with its code. The codes are HMAC-SHA-256 over the
- * side's name, both nonces and the client's address, so that none can be replayed or reflected. Not
- * safe for use by several threads.
+ * <p>The client sends its protocol version, nonce and address. The server answers with its own
+ * nonce and its authentication code, and the client answers with its code. A code is the
+ * HMAC-SHA-256 of the role of the sender, both nonces and the client's address, so that codes can
+ * be neither replayed nor reflected. Not thread-safe.
  *
  * @since 0.1
  */
 public final class Handshake {
 
-  /** The longest frame of a handshake, in bytes. */
+  /** The maximum length of the content of a handshake frame, in bytes. */
   public static final int MAX_FRAME_BYTES = 512;
 
   /** The length of a nonce, in bytes. */
@@ -42,7 +42,7 @@
   private final boolean client;
   private final byte[] ownNonce;
   private String clientAddress;
-  private byte[] otherNonce = new byte[0];
+  private byte[] peerNonce = new byte[0];
   private Step step;
 
   private Handshake(SharedKey key, boolean client, byte[] ownNonce, String clientAddress) {
@@ -54,11 +54,11 @@
   }
 
   /**
-   * Starts the client's side.
+   * Creates the client side.
    *
    * @param key the shared key; not null
    * @param nonce drawn at random for this connection; not null
-   * @param address where the client listens for its own peers; not null
+   * @param address the address of the client's own listener; not null
    * @return never null
    */
   public static Handshake ofClient(SharedKey key, byte[] nonce, String address) {
@@ -66,7 +66,7 @@
   }
 
   /**
-   * Starts the server's side.
+   * Creates the server side.
    *
    * @param key the shared key; not null
    * @param nonce drawn at random for this connection; not null
@@ -77,9 +77,9 @@
   }
 
   /**
-   * Returns what the client sends first.
+   * Returns the first frame of the client.
    *
-   * @return the content of a frame
+   * @return the content of the frame
    */
   public byte[] hello() {
     return pack(
@@ -93,11 +93,11 @@
   }
 
   /**
-   * Takes a frame of the other side.
+   * Handles a frame from the peer.
    *
-   * @param frame its content; not null
-   * @return what to send back, if anything
-   * @throws CodedException with code PROTOCOL if the other side does not prove the key
+   * @param frame the content of the frame; not null
+   * @return the content of the reply, or empty if there is none
+   * @throws CodedException with code PROTOCOL if the frame is invalid or authentication fails
    */
   public Optional<byte[]> onFrame(byte[] frame) {
     try (ValueReader reader = new ValueReader(frame)) {
@@ -106,7 +106,8 @@
             case AWAIT_HELLO -> Optional.of(onHello(reader));
             case AWAIT_SERVER_CODE -> Optional.of(onServerCode(reader));
             case AWAIT_CLIENT_CODE -> onClientCode(reader);
-            case DONE -> throw new CodedException(ErrorCode.PROTOCOL, "handshake is over");
+            case DONE ->
+                throw new CodedException(ErrorCode.PROTOCOL, "handshake is already complete");
           };
       reader.expectEnd();
       return reply;
@@ -116,16 +117,16 @@
   }
 
   /**
-   * Tells whether the other side has proved the key.
+   * Returns whether the peer is authenticated.
    *
-   * @return true once it has
+   * @return true once the handshake is complete
    */
   public boolean isDone() {
     return step == Step.DONE;
   }
 
   /**
-   * Returns where the client listens for its own peers; proved once the handshake is done.
+   * Returns the address of the client's own listener; authenticated once the handshake is complete.
    *
    * @return IP address and port, never null
    */
@@ -137,9 +138,9 @@
     reader.expectArray(3);
     int version = reader.readInt();
     if (version != PROTOCOL_VERSION) {
-      throw new CodedException(ErrorCode.PROTOCOL, "protocol version " + version);
+      throw new CodedException(ErrorCode.PROTOCOL, "unsupported protocol version " + version);
     }
-    otherNonce = readNonce(reader);
+    peerNonce = readNonce(reader);
     clientAddress = reader.readString();
     step = Step.AWAIT_CLIENT_CODE;
     byte[] code = code(SERVER);
@@ -155,8 +156,8 @@
 
   private byte[] onServerCode(ValueReader reader) throws IOException {
     reader.expectArray(2);
-    otherNonce = readNonce(reader);
-    checkCode(SERVER, reader.readBytes());
+    peerNonce = readNonce(reader);
+    verifyCode(SERVER, reader.readBytes());
     step = Step.DONE;
     byte[] code = code(CLIENT);
     return pack(
@@ -169,7 +170,7 @@
 
   private Optional<byte[]> onClientCode(ValueReader reader) throws IOException {
     reader.expectArray(1);
-    checkCode(CLIENT, reader.readBytes());
+    verifyCode(CLIENT, reader.readBytes());
     step = Step.DONE;
     return Optional.empty();
   }
@@ -177,14 +178,14 @@
   private byte[] readNonce(ValueReader reader) throws IOException {
     byte[] nonce = reader.readBytes();
     if (nonce.length != NONCE_BYTES || Arrays.equals(nonce, ownNonce)) {
-      throw new CodedException(ErrorCode.PROTOCOL, "unusable nonce");
+      throw new CodedException(ErrorCode.PROTOCOL, "invalid nonce");
     }
     return nonce;
   }
 
-  private void checkCode(String side, byte[] presented) {
+  private void verifyCode(String side, byte[] presented) {
     if (!MessageDigest.isEqual(code(side), presented)) {
-      throw new CodedException(ErrorCode.PROTOCOL, "the peer does not know the shared key");
+      throw new CodedException(ErrorCode.PROTOCOL, "the peer does not have the shared key");
     }
   }
 
@@ -193,11 +194,11 @@
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(new SecretKeySpec(key.bytes(), ALGORITHM));
       mac.update(side.getBytes(StandardCharsets.UTF_8));
-      mac.update(client ? ownNonce : otherNonce);
-      mac.update(client ? otherNonce : ownNonce);
+      mac.update(client ? ownNonce : peerNonce);
+      mac.update(client ? peerNonce : ownNonce);
       return mac.doFinal(clientAddress.getBytes(StandardCharsets.UTF_8));
     } catch (GeneralSecurityException missing) {
-      throw new CodedException(ErrorCode.INTERNAL, ALGORITHM + " is missing", missing);
+      throw new CodedException(ErrorCode.INTERNAL, ALGORITHM + " is not available", missing);
     }
   }
 
@@ -206,11 +207,11 @@
       packing.into(packer);
       return packer.toByteArray();
     } catch (IOException impossible) {
-      throw new CodedException(ErrorCode.INTERNAL, "handshake cannot be encoded", impossible);
+      throw new CodedException(ErrorCode.INTERNAL, "cannot encode handshake frame", impossible);
     }
   }
 
-  /** What the next frame of the other side has to be. */
+  /** The frame expected next from the peer. */
   private enum Step {
     AWAIT_HELLO,
     AWAIT_SERVER_CODE,
@@ -218,7 +219,7 @@
     DONE
   }
 
-  /** Packs values. */
+  /** Writes values to a packer. */
   @FunctionalInterface
   private interface Packing {
     void into(MessageBufferPacker packer) throws IOException;
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/OutboundQueue.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/OutboundQueue.java
@@ -5,16 +5,16 @@
 import java.util.Iterator;
 
 /**
- * Frames that wait to be sent to one peer, bounded in number and bytes.
+ * A queue of outgoing frames to one peer, bounded in number and bytes.
  *
- * <p>When it is full, the oldest frame that a newer one replaces is dropped, else the oldest. Safe
- * for use by several threads.
+ * <p>When it is full, the oldest replaceable frame is dropped, or the oldest frame if none is
+ * replaceable. Thread-safe.
  *
  * @since 0.1
  */
 public final class OutboundQueue {
 
-  /** How many bytes may wait. */
+  /** The maximum number of queued bytes. */
   public static final long MAX_BYTES = 4L * FrameDecoder.MAX_FRAME_BYTES;
 
   private final int capacity;
@@ -25,17 +25,17 @@
   /**
    * Creates an empty queue.
    *
-   * @param capacity how many frames may wait; at least 1
+   * @param capacity the maximum number of queued frames; at least 1
    */
   public OutboundQueue(int capacity) {
     this.capacity = capacity;
   }
 
   /**
-   * Adds a frame, dropping older ones if need be.
+   * Adds a frame, and drops frames while the queue exceeds its bounds.
    *
    * @param frame the frame; not null
-   * @param replaceable whether a newer frame of its kind makes it useless, as for heartbeats
+   * @param replaceable whether a newer frame of the same kind supersedes it, as for heartbeats
    */
   public synchronized void add(byte[] frame, boolean replaceable) {
     entries.addLast(new Entry(frame, replaceable));
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Takes the oldest frame.
+   * Removes and returns the oldest frame.
    *
-   * @return the frame, or null if there is none
+   * @return the frame, or null if the queue is empty
    */
   public synchronized ByteBuffer poll() {
     Entry first = entries.pollFirst();
@@ -67,7 +67,7 @@
   }
 
   /**
-   * Returns how many frames wait.
+   * Returns the number of queued frames.
    *
    * @return at most the capacity
    */
@@ -76,7 +76,7 @@
   }
 
   /**
-   * Returns how many frames were dropped so far.
+   * Returns the number of frames dropped so far.
    *
    * @return the count
    */
@@ -102,6 +102,6 @@
     droppedCount++;
   }
 
-  /** One waiting frame. */
+  /** A queued frame. */
   private record Entry(byte[] frame, boolean replaceable) {}
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/Reactor.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/Reactor.java
@@ -12,10 +12,11 @@
 import org.tinylog.Logger;
 
 /**
- * The one thread that reads and writes all connections to peers.
+ * An event loop: one thread that reads and writes all connections to peers.
  *
- * <p>Each round first handles what arrived, then tasks of other threads, then the tick: so a pause
- * of this process is never taken for silence of a peer whose bytes already wait.
+ * <p>Each iteration handles ready channels first, then tasks of other threads, then the tick with
+ * its timeouts. After a pause of this process, data that has arrived in the meantime is thus read
+ * before a peer can be considered silent.
  *
  * @since 0.1
  */
@@ -33,7 +34,7 @@
    * Creates the thread without starting it.
    *
    * @param name the thread's name; not null
-   * @param tick called once a round, at least every ten milliseconds; not null
+   * @param tick called once per iteration, about every ten milliseconds or more often; not null
    */
   public Reactor(String name, Runnable tick) {
     this.tick = tick;
@@ -52,7 +53,7 @@
   }
 
   /**
-   * Runs a task on the thread.
+   * Queues a task to run on the thread.
    *
    * @param task the task; not null
    */
@@ -62,12 +63,12 @@
   }
 
   /**
-   * Registers a channel; only on the thread or before the start.
+   * Registers a channel. Must be called on the thread or before it starts.
    *
    * @param channel a channel in non-blocking mode; not null
    * @param operations the operations of interest
    * @param handler called when the channel is ready; not null
-   * @return the key
+   * @return the selection key
    * @throws IOException if the channel is closed
    */
   public SelectionKey register(SelectableChannel channel, int operations, Runnable handler)
@@ -75,13 +76,13 @@
     return channel.register(selector, operations, handler);
   }
 
-  /** Ends the thread and waits for it, so that nothing is handled afterwards. */
+  /** Stops the thread and waits for it, so that no handler runs afterwards. */
   @Override
   public void close() {
     closed = true;
     selector.wakeup();
     if (thread.getState() == Thread.State.NEW) {
-      // Never started: free what the thread would have freed at its end.
+      // The thread was never started: run the pending tasks and close the selector here.
       run();
     } else if (Thread.currentThread() != thread) {
       joinThread();
@@ -102,11 +103,11 @@
         selector.select(TICK_MS);
         handleReady();
         runTasks();
-        guarded(tick);
+        runLoggingFailures(tick);
       }
       runTasks();
     } catch (IOException failure) {
-      Logger.error(failure, "The network of peers stopped");
+      Logger.error(failure, "Peer network stopped");
     }
   }
 
@@ -116,24 +117,24 @@
       SelectionKey key = ready.next();
       ready.remove();
       if (key.isValid()) {
-        guarded((Runnable) key.attachment());
+        runLoggingFailures((Runnable) key.attachment());
       }
     }
   }
 
   private void runTasks() {
     for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
-      guarded(task);
+      runLoggingFailures(task);
     }
   }
 
-  private static void guarded(Runnable task) {
+  private static void runLoggingFailures(Runnable task) {
     try {
       task.run();
     } catch (CancelledKeyException closedMeanwhile) {
-      // Another handler of the same round closed the connection.
+      // Another handler closed the connection in the same iteration.
     } catch (RuntimeException failure) {
-      Logger.error(failure, "A handler of the network of peers failed");
+      Logger.error(failure, "A handler of the peer network failed");
     }
   }
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/RecordValueCodec.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/RecordValueCodec.java
@@ -11,7 +11,8 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * Records, as the array of their components; a record with one component, as that component.
+ * Encodes a record as the array of its components, and a record with one component as that
+ * component alone.
  *
  * @since 0.1
  */
@@ -72,7 +73,7 @@
     Object value = codecs[index].missing();
     if (value == null) {
       throw new CodedException(
-          ErrorCode.PROTOCOL, "component missing: " + accessors[index].getName());
+          ErrorCode.PROTOCOL, "mandatory component is missing: " + accessors[index].getName());
     }
     return value;
   }
@@ -81,13 +82,12 @@
     try {
       Object component = accessor.invoke(value);
       if (component == null) {
-        throw new CodedException(
-            ErrorCode.INTERNAL, "null component in a message: " + accessor.getName());
+        throw new CodedException(ErrorCode.INTERNAL, "component is null: " + accessor.getName());
       }
       return component;
     } catch (IllegalAccessException | InvocationTargetException failure) {
       throw new CodedException(
-          ErrorCode.INTERNAL, "component cannot be read: " + accessor.getName(), failure);
+          ErrorCode.INTERNAL, "cannot read component: " + accessor.getName(), failure);
     }
   }
 
@@ -96,9 +96,9 @@
       return constructor.newInstance(components);
     } catch (InvocationTargetException refused) {
       throw new CodedException(
-          ErrorCode.PROTOCOL, "values refused: " + refused.getCause().getMessage(), refused);
+          ErrorCode.PROTOCOL, "invalid values: " + refused.getCause().getMessage(), refused);
     } catch (InstantiationException | IllegalAccessException failure) {
-      throw new CodedException(ErrorCode.INTERNAL, "record cannot be created", failure);
+      throw new CodedException(ErrorCode.INTERNAL, "cannot create record", failure);
     }
   }
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ScalarCodecs.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ScalarCodecs.java
@@ -35,19 +35,19 @@
             (packer, value) -> packer.packString((String) value), ValueReader::readString, ""));
   }
 
-  /** Writes one value. */
+  /** Encodes a value. */
   @FunctionalInterface
   interface Writing {
     void write(MessagePacker packer, Object value) throws IOException;
   }
 
-  /** Reads one value. */
+  /** Decodes a value. */
   @FunctionalInterface
   interface Reading {
     Object read(ValueReader reader) throws IOException;
   }
 
-  /** A codec of two functions and a default. */
+  /** A codec that consists of two functions and a default value. */
   record FunctionCodec(Writing writing, Reading reading, Object missing) implements ValueCodec {
 
     @Override
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ShardTableCodec.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ShardTableCodec.java
@@ -15,16 +15,16 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * Shard tables: previous owners only for the shards that move, which are few.
+ * Encodes shard tables. Previous owners are written for moving shards only, as these are few.
  *
  * @since 0.1
  */
 final class ShardTableCodec implements ValueCodec {
 
-  private final ValueCodec head;
+  private final ValueCodec tableCodec;
 
   ShardTableCodec(ValueCodecs codecs) {
-    this.head = codecs.forType(EncodedShardTable.class);
+    this.tableCodec = codecs.forType(EncodedShardTable.class);
   }
 
   @Override
@@ -32,7 +32,7 @@
     ShardTable table = (ShardTable) value;
     int[] moving = IntStream.range(0, table.shardCount()).filter(table::isMoving).toArray();
     int[] movingFrom = Arrays.stream(moving).map(table::previousOwner).toArray();
-    head.write(
+    tableCodec.write(
         packer,
         new EncodedShardTable(
             table.cell(),
@@ -50,7 +50,7 @@
 
   @Override
   public Object read(ValueReader reader) throws IOException {
-    EncodedShardTable read = (EncodedShardTable) head.read(reader);
+    EncodedShardTable read = (EncodedShardTable) tableCodec.read(reader);
     checkIndexes(read.owners(), read.targets().size());
     checkIndexes(read.standbys(), read.targets().size());
     checkIndexes(read.movingFrom(), read.targets().size());
@@ -71,12 +71,13 @@
     int[] previous = new int[read.owners().length];
     Arrays.fill(previous, ShardTable.NOBODY);
     if (read.moving().length != read.movingFrom().length) {
-      throw new CodedException(ErrorCode.PROTOCOL, "moving shards without previous owner");
+      throw new CodedException(
+          ErrorCode.PROTOCOL, "moving shards and previous owners differ in number");
     }
     for (int i = 0; i < read.moving().length; i++) {
       int shard = read.moving()[i];
       if (shard < 0 || shard >= previous.length) {
-        throw new CodedException(ErrorCode.PROTOCOL, "no such shard: " + shard);
+        throw new CodedException(ErrorCode.PROTOCOL, "unknown shard: " + shard);
       }
       previous[shard] = read.movingFrom()[i];
     }
@@ -86,12 +87,12 @@
   private static void checkIndexes(int[] indexes, int targets) {
     for (int index : indexes) {
       if (index < ShardTable.NOBODY || index >= targets) {
-        throw new CodedException(ErrorCode.PROTOCOL, "no such target: " + index);
+        throw new CodedException(ErrorCode.PROTOCOL, "unknown target index: " + index);
       }
     }
   }
 
-  /** The form of a table on the wire. */
+  /** The encoded components of a shard table. */
   public record EncodedShardTable(
       CellId cell,
       TableVersion version,
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ValueCodec.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ValueCodec.java
@@ -4,7 +4,7 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * Writes and reads the values of one type.
+ * Encodes and decodes the values of one type.
  *
  * @since 0.1
  */
@@ -13,25 +13,25 @@
   /**
    * Writes a value.
    *
-   * @param packer where to; not null
+   * @param packer the output; not null
    * @param value the value; not null
-   * @throws IOException never, as packers write to memory
+   * @throws IOException declared by the packer; not thrown by packers that write to memory
    */
   void write(MessagePacker packer, Object value) throws IOException;
 
   /**
    * Reads a value.
    *
-   * @param reader where from; not null
+   * @param reader the input; not null
    * @return never null
-   * @throws IOException if the input is cut off
+   * @throws IOException if the input is truncated
    */
   Object read(ValueReader reader) throws IOException;
 
   /**
-   * Returns what to take for a component that an older sender left out.
+   * Returns the default for a component that an older sender omits.
    *
-   * @return null if the component must be there
+   * @return the default, or null if the component is mandatory
    */
   default Object missing() {
     return null;
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ValueCodecs.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ValueCodecs.java
@@ -13,7 +13,7 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * Finds the codec of each type that a message may contain.
+ * Provides the codecs of all types that a message may contain.
  *
  * @since 0.1
  */
@@ -21,18 +21,19 @@
 
   private final Map<Type, ValueCodec> codecs = new ConcurrentHashMap<>();
 
-  /** Creates codecs for numbers, strings, primitive arrays and shard tables. */
+  /** Creates a registry with the codecs for numbers, booleans, strings and primitive arrays. */
   public ValueCodecs() {
     codecs.putAll(ScalarCodecs.all());
     codecs.putAll(ArrayCodecs.all());
   }
 
   /**
-   * Returns the codec of a type.
+   * Returns the codec of a type, which is created if necessary.
    *
-   * @param type a record, enum, list, or one of the basic types; not null
+   * @param type a record, enum, list, shard table, number, boolean, string or primitive array; not
+   *     null
    * @return never null
-   * @throws CodedException with code INTERNAL if messages can't contain the type
+   * @throws CodedException with code INTERNAL if the type is not supported
    */
   public ValueCodec forType(Type type) {
     ValueCodec known = codecs.get(type);
@@ -57,10 +58,10 @@
     if (type instanceof Class<?> plain && plain.isRecord()) {
       return RecordValueCodec.create(plain, this);
     }
-    throw new CodedException(ErrorCode.INTERNAL, "messages cannot contain " + type);
+    throw new CodedException(ErrorCode.INTERNAL, "type not supported in messages: " + type);
   }
 
-  /** Lists, as arrays. */
+  /** Encodes lists as arrays. */
   private record ListCodec(ValueCodec element) implements ValueCodec {
 
     @Override
@@ -88,7 +89,7 @@
     }
   }
 
-  /** Enums, by name. */
+  /** Encodes enum constants by name. */
   private record EnumCodec(Class<?> type) implements ValueCodec {
 
     @Override
@@ -104,7 +105,7 @@
           return constant;
         }
       }
-      throw new CodedException(ErrorCode.PROTOCOL, "unknown " + type.getSimpleName());
+      throw new CodedException(ErrorCode.PROTOCOL, "unknown constant of " + type.getSimpleName());
     }
   }
 }
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ValueReader.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ValueReader.java
@@ -10,9 +10,9 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads values from bytes of a peer that may be wrong on purpose.
+ * Reads values from untrusted bytes of a peer.
  *
- * <p>Every claimed length is compared with what is left of the input before anything is allocated.
+ * <p>Every declared length is checked against the remaining input before memory is allocated.
  *
  * @since 0.1
  */
@@ -34,34 +34,35 @@
   /**
    * Reads the header of an array.
    *
-   * @return the number of its elements, no more than there are bytes left
-   * @throws IOException if the input is cut off
+   * @return the number of elements, at most the number of remaining bytes
+   * @throws IOException if the input is truncated
    */
   public int readArrayHeader() throws IOException {
-    return checked(unpacker.unpackArrayHeader());
+    return checkLength(unpacker.unpackArrayHeader());
   }
 
   /**
-   * Reads the header of an array of known length.
+   * Reads the header of an array and checks its length.
    *
-   * @param length the number of its elements
-   * @throws IOException if the input is cut off
+   * @param length the expected number of elements
+   * @throws IOException if the input is truncated
    */
   public void expectArray(int length) throws IOException {
     int actual = readArrayHeader();
     if (actual != length) {
-      throw new CodedException(ErrorCode.PROTOCOL, "array of " + actual + " elements");
+      throw new CodedException(
+          ErrorCode.PROTOCOL, "unexpected array length: " + actual + " elements");
     }
   }
 
   /**
-   * Checks that nothing follows.
+   * Checks that all input was read.
    *
    * @throws IOException never
    */
   public void expectEnd() throws IOException {
     if (remainingBytes() != 0) {
-      throw new CodedException(ErrorCode.PROTOCOL, "bytes after the end of a message");
+      throw new CodedException(ErrorCode.PROTOCOL, "trailing bytes after message");
     }
   }
 
@@ -69,7 +70,7 @@
    * Reads an int.
    *
    * @return the value
-   * @throws IOException if the input is cut off
+   * @throws IOException if the input is truncated
    */
   public int readInt() throws IOException {
     return unpacker.unpackInt();
@@ -79,7 +80,7 @@
    * Reads a long.
    *
    * @return the value
-   * @throws IOException if the input is cut off
+   * @throws IOException if the input is truncated
    */
   public long readLong() throws IOException {
     return unpacker.unpackLong();
@@ -89,7 +90,7 @@
    * Reads a double.
    *
    * @return the value
-   * @throws IOException if the input is cut off
+   * @throws IOException if the input is truncated
    */
   public double readDouble() throws IOException {
     return unpacker.unpackDouble();
@@ -99,41 +100,41 @@
    * Reads a boolean.
    *
    * @return the value
-   * @throws IOException if the input is cut off
+   * @throws IOException if the input is truncated
    */
   public boolean readBoolean() throws IOException {
     return unpacker.unpackBoolean();
   }
 
   /**
-   * Reads bytes.
+   * Reads a byte array.
    *
    * @return never null
-   * @throws IOException if the input is cut off
+   * @throws IOException if the input is truncated
    */
   public byte[] readBytes() throws IOException {
-    return unpacker.readPayload(checked(unpacker.unpackBinaryHeader()));
+    return unpacker.readPayload(checkLength(unpacker.unpackBinaryHeader()));
   }
 
   /**
    * Reads a string.
    *
    * @return never null
-   * @throws IOException if the input is cut off
+   * @throws IOException if the input is truncated
    */
   public String readString() throws IOException {
-    byte[] utf8 = unpacker.readPayload(checked(unpacker.unpackRawStringHeader()));
+    byte[] utf8 = unpacker.readPayload(checkLength(unpacker.unpackRawStringHeader()));
     try {
       return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(utf8)).toString();
     } catch (CharacterCodingException malformed) {
-      throw new CodedException(ErrorCode.PROTOCOL, "text is no UTF-8", malformed);
+      throw new CodedException(ErrorCode.PROTOCOL, "string is not valid UTF-8", malformed);
     }
   }
 
   /**
    * Skips one value of any type.
    *
-   * @throws IOException if the input is cut off
+   * @throws IOException if the input is truncated
    */
   public void skip() throws IOException {
     unpacker.skipValue();
@@ -144,11 +145,12 @@
     unpacker.close();
   }
 
-  private int checked(int claimed) {
-    if (claimed < 0 || claimed > remainingBytes()) {
-      throw new CodedException(ErrorCode.PROTOCOL, "a length exceeds the message: " + claimed);
+  private int checkLength(int length) {
+    if (length < 0 || length > remainingBytes()) {
+      throw new CodedException(
+          ErrorCode.PROTOCOL, "declared length exceeds the message: " + length);
     }
-    return claimed;
+    return length;
   }
 
   private long remainingBytes() {
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/package-info.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/package-info.java
@@ -1,2 +1,2 @@
-/** How values, frames and connections work; not for use outside the wire module. */
+/** Codecs, framing and connections; not for use outside the wire module. */
 package io.cuminvalve.wire.internal;
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/package-info.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Frames and MessagePack messages between our own processes. */
+/** Exchanges MessagePack messages in length-prefixed frames between processes of the system. */
 package io.cuminvalve.wire;
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/MessagePackTableCodecTest.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/MessagePackTableCodecTest.java
@@ -20,7 +20,7 @@
   private final MessagePackTableCodec codec = new MessagePackTableCodec(new RecordCodec());
 
   @Test
-  void largestUsualTableStaysWellBelowTheStoreLimit() {
+  void largeTableStaysBelowStoreLimit() {
     ShardTable table = SampleMessages.table(1 << 16, 4_000, new Random(2));
     StoredTable stored = new StoredTable(new TableVersion(8, 1, 2), table);
     byte[] bytes = codec.encodeTable(stored);
@@ -32,14 +32,14 @@
   }
 
   @Test
-  void termSurvives() {
+  void termRoundTrips() {
     TermRecord term =
         new TermRecord(7, new ControllerId("c1"), new Incarnation(-3), "127.0.0.1:7000");
     assertThat(codec.decodeTerm(codec.encodeTerm(term))).isEqualTo(term);
   }
 
   @Test
-  void otherBytesAreRefused() {
+  void invalidBytesAreRejected() {
     byte[] term =
         codec.encodeTerm(
             new TermRecord(7, new ControllerId("c1"), new Incarnation(3), "127.0.0.1:7000"));
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/RecordCodecTest.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/RecordCodecTest.java
@@ -24,22 +24,22 @@
 
   private final RecordCodec codec = new RecordCodec();
 
-  /** A record as an older version of the program knew it. */
+  /** The oldest version of a record. */
   public record Older(String name) {}
 
-  /** The same with components appended. */
+  /** The same record with one component appended. */
   public record Middle(String name, long count) {}
 
-  /** The same with more components appended. */
+  /** The same record with further components appended. */
   public record Newer(String name, long count, List<String> tags, int[] shards, boolean on) {}
 
   @Test
-  void everyMessageSurvivesEncoding() {
+  void everyMessageRoundTrips() {
     for (PeerMessage message : SampleMessages.all()) {
       byte[] bytes = codec.encodeMessage(message);
       PeerMessage read = codec.decodeMessage(bytes);
       assertThat(read).isInstanceOf(message.getClass());
-      // Arrays make records unequal: compare what they encode to.
+      // Records with array components are never equal: compare the encoded bytes.
       assertThat(codec.encodeMessage(read)).isEqualTo(bytes);
       assertThat(read.cell()).isEqualTo(message.cell());
     }
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void tableSurvivesEncodingAndStaysSmall() {
+  void tableRoundTripsWithinSizeLimit() {
     ShardTable table = SampleMessages.table(1 << 16, 100, new Random(1));
     byte[] bytes = codec.encodeMessage(new TablePush(SampleMessages.CELL, table, new int[] {1, 2}));
     ShardTable read = ((TablePush) codec.decodeMessage(bytes)).table();
@@ -76,13 +76,13 @@
   }
 
   @Test
-  void newerSenderIsUnderstood() {
+  void messageOfNewerSenderIsDecoded() {
     Newer newer = new Newer("a", 5, List.of("x"), new int[] {1}, true);
     assertThat(codec.decode(codec.encode(newer), Middle.class)).isEqualTo(new Middle("a", 5));
   }
 
   @Test
-  void olderSenderIsUnderstood() {
+  void messageOfOlderSenderIsDecoded() {
     Newer read = codec.decode(codec.encode(new Middle("a", 5)), Newer.class);
     assertThat(read.count()).isEqualTo(5);
     assertThat(read.tags()).isEmpty();
@@ -91,13 +91,13 @@
   }
 
   @Test
-  void singleComponentIsWrittenBare() {
+  void singleComponentIsWrittenWithoutArray() {
     assertThat(codec.encode(new Older("a"))).isEqualTo(new byte[] {(byte) 0xa1, 'a'});
   }
 
   @Test
-  void claimedLengthIsNotBelieved() {
-    // A ShardsOpened whose shard array claims 2^31 - 1 elements.
+  void lengthBeyondInputIsRejected() {
+    // A ShardsOpened message whose shard array declares 2^31 - 1 elements.
     byte[] good =
         codec.encodeMessage(
             new ShardsOpened(SampleMessages.CELL, SampleMessages.VERSION, new int[0], new long[0]));
@@ -110,29 +110,29 @@
   }
 
   @Test
-  void bytesAfterMessageAreRefused() {
+  void trailingBytesAreRejected() {
     byte[] good = codec.encodeMessage(SampleMessages.heartbeat(1));
     assertProtocolError(Arrays.copyOf(good, good.length + 1));
   }
 
   @Test
-  void damagedMessagesAreRefusedOrRead() {
+  void corruptedMessagesAreRejectedOrDecoded() {
     Random random = new Random(20_261_202);
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < FUZZ_ROUNDS; i++) {
       PeerMessage message = SampleMessages.all().get(random.nextInt(SampleMessages.all().size()));
-      byte[] bytes = damaged(codec.encodeMessage(message), random);
+      byte[] bytes = corrupt(codec.encodeMessage(message), random);
       try {
         codec.decodeMessage(bytes);
       } catch (CodedException expected) {
         assertThat(expected.code()).isEqualTo(ErrorCode.PROTOCOL);
-        refused++;
+        rejected++;
       }
     }
-    assertThat(refused).isGreaterThan(FUZZ_ROUNDS / 10);
+    assertThat(rejected).isGreaterThan(FUZZ_ROUNDS / 10);
   }
 
-  private static byte[] damaged(byte[] bytes, Random random) {
+  private static byte[] corrupt(byte[] bytes, Random random) {
     if (random.nextInt(4) == 0) {
       return Arrays.copyOf(bytes, random.nextInt(bytes.length));
     }
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/SampleMessages.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/SampleMessages.java
@@ -20,7 +20,7 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 
-/** Messages for tests. */
+/** Sample messages and shard tables for tests. */
 final class SampleMessages {
 
   static final CellId CELL = new CellId("claims");
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/ScriptedPeer.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/ScriptedPeer.java
@@ -9,7 +9,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** A peer that knows the key and then does only what a test says. */
+/** A peer that authenticates with the shared key and then sends only what the test writes. */
 final class ScriptedPeer implements AutoCloseable {
 
   private final SharedKey key;
@@ -25,7 +25,7 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  void acceptAndProveKey() throws IOException {
+  void acceptAndAuthenticate() throws IOException {
     socket = server.accept();
     Handshake handshake = Handshake.ofServer(key, new byte[Handshake.NONCE_BYTES]);
     write(FrameDecoder.frame(handshake.onFrame(readFrame()).orElseThrow()));
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/TcpPeerNetworkTest.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/TcpPeerNetworkTest.java
@@ -30,18 +30,18 @@
 
 class TcpPeerNetworkTest {
 
-  /** Only reached when the program is broken. */
-  private static final long GIVE_UP_S = 20;
+  /** Upper bound of waiting; reached only if a test fails. */
+  private static final long TIMEOUT_S = 20;
 
   private static final SharedKey KEY = new SharedKey("0123456789abcdef");
   private static final SharedKey OTHER_KEY = new SharedKey("fedcba9876543210");
 
   private final AtomicLong clockMs = new AtomicLong(1_000);
-  private final List<AutoCloseable> open = new ArrayList<>();
+  private final List<AutoCloseable> resources = new ArrayList<>();
 
   @AfterEach
   void closeAll() throws Exception {
-    for (AutoCloseable closeable : open) {
+    for (AutoCloseable closeable : resources) {
       closeable.close();
     }
   }
@@ -77,23 +77,23 @@
   @Test
   void wrongKeyIsRejectedOnBothSides() throws Exception {
     Peer server = peer(KEY, 0, (sender, message) -> {});
-    Peer stranger = peer(OTHER_KEY, 0, (sender, message) -> {});
-    stranger.network.send(server.address(), SampleMessages.heartbeat(1));
-    assertThat(stranger.nextReachability()).isEqualTo(Reachability.REJECTED);
-    server.network.connect(stranger.address());
+    Peer unauthorized = peer(OTHER_KEY, 0, (sender, message) -> {});
+    unauthorized.network.send(server.address(), SampleMessages.heartbeat(1));
+    assertThat(unauthorized.nextReachability()).isEqualTo(Reachability.REJECTED);
+    server.network.connect(unauthorized.address());
     assertThat(server.nextReachability()).isEqualTo(Reachability.REJECTED);
     assertThat(server.messages).isEmpty();
   }
 
   @Test
-  void refusalIsToldApartFromSilence() throws Exception {
+  void refusedConnectionIsDistinguishedFromSilence() throws Exception {
     Peer client = peer(KEY, 0, (sender, message) -> {});
     client.network.connect("127.0.0.1:" + freePort());
     assertThat(client.nextReachability()).isEqualTo(Reachability.REFUSED);
-    try (ServerSocket mute = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      String address = "127.0.0.1:" + mute.getLocalPort();
+    try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+      String address = "127.0.0.1:" + silent.getLocalPort();
       client.network.connect(address);
-      try (Socket accepted = mute.accept()) {
+      try (Socket accepted = silent.accept()) {
         new DataInputStream(accepted.getInputStream()).readInt();
         assertThat(client.network.reachability(address)).isEqualTo(Reachability.UNKNOWN);
         clockMs.addAndGet(500);
@@ -103,39 +103,39 @@
   }
 
   @Test
-  void peerThatStopsAnsweringIsSilentThoughConnected() throws Exception {
-    try (ScriptedPeer mute = new ScriptedPeer(KEY)) {
+  void connectedPeerThatStopsAnsweringBecomesSilent() throws Exception {
+    try (ScriptedPeer scripted = new ScriptedPeer(KEY)) {
       Peer client = peer(KEY, 0, (sender, message) -> {});
-      client.network.connect(mute.address());
-      mute.acceptAndProveKey();
+      client.network.connect(scripted.address());
+      scripted.acceptAndAuthenticate();
       assertThat(client.nextReachability()).isEqualTo(Reachability.CONNECTED);
       clockMs.addAndGet(100);
-      mute.readFrame();
+      scripted.readFrame();
       clockMs.addAndGet(299);
       assertThat(client.reachabilities).isEmpty();
       clockMs.addAndGet(1);
       assertThat(client.nextReachability()).isEqualTo(Reachability.SILENT);
-      mute.write(FrameDecoder.frame(new byte[0]));
+      scripted.write(FrameDecoder.frame(new byte[0]));
       assertThat(client.nextReachability()).isEqualTo(Reachability.CONNECTED);
     }
   }
 
   @Test
-  void probeTellsDeathOfPeerAtOnce() throws Exception {
+  void probeDetectsStoppedPeerImmediately() throws Exception {
     Peer server = peer(KEY, 0, (sender, message) -> {});
     Peer client = peer(KEY, 0, (sender, message) -> {});
     String address = server.address();
-    assertThat(client.network.probe(address).get(GIVE_UP_S, TimeUnit.SECONDS))
+    assertThat(client.network.probe(address).get(TIMEOUT_S, TimeUnit.SECONDS))
         .isEqualTo(Reachability.CONNECTED);
-    assertThat(client.network.probe(address).get(GIVE_UP_S, TimeUnit.SECONDS))
+    assertThat(client.network.probe(address).get(TIMEOUT_S, TimeUnit.SECONDS))
         .isEqualTo(Reachability.CONNECTED);
     server.network.close();
-    assertThat(client.network.probe(address).get(GIVE_UP_S, TimeUnit.SECONDS))
+    assertThat(client.network.probe(address).get(TIMEOUT_S, TimeUnit.SECONDS))
         .isEqualTo(Reachability.REFUSED);
   }
 
   @Test
-  void linkConnectsAgainAfterPeerRestarts() throws Exception {
+  void linkReconnectsAfterPeerRestart() throws Exception {
     Peer server = peer(KEY, 0, (sender, message) -> {});
     Peer client = peer(KEY, 0, (sender, message) -> {});
     String address = server.address();
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void garbageOnThePortHurtsNobody() throws Exception {
+  void invalidBytesDoNotAffectOtherConnections() throws Exception {
     Peer server = peer(KEY, 0, (sender, message) -> {});
     int port = Integer.parseInt(server.address().substring("127.0.0.1:".length()));
     Random random = new Random(5);
@@ -163,7 +163,7 @@
       try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
         socket.getOutputStream().write(garbage);
       } catch (IOException closedByServer) {
-        // The server may close the connection before all is written.
+        // The server may close the connection before all bytes are written.
       }
     }
     Peer client = peer(KEY, 0, (sender, message) -> {});
@@ -172,39 +172,40 @@
   }
 
   @Test
-  void badMessageClosesTheConnectionOnly() throws Exception {
-    try (ScriptedPeer mute = new ScriptedPeer(KEY)) {
+  void malformedMessageClosesConnection() throws Exception {
+    try (ScriptedPeer scripted = new ScriptedPeer(KEY)) {
       Peer client = peer(KEY, 0, (sender, message) -> {});
-      client.network.connect(mute.address());
-      mute.acceptAndProveKey();
+      client.network.connect(scripted.address());
+      scripted.acceptAndAuthenticate();
       assertThat(client.nextReachability()).isEqualTo(Reachability.CONNECTED);
-      mute.write(FrameDecoder.frame(new byte[] {(byte) 0xc1, 1, 2}));
+      scripted.write(FrameDecoder.frame(new byte[] {(byte) 0xc1, 1, 2}));
       assertThat(client.nextReachability()).isEqualTo(Reachability.REJECTED);
       assertThat(client.messages).isEmpty();
     }
   }
 
   @Test
-  void halfFrameIsNoMessage() throws Exception {
-    try (ScriptedPeer mute = new ScriptedPeer(KEY)) {
+  void incompleteFrameIsDiscarded() throws Exception {
+    try (ScriptedPeer scripted = new ScriptedPeer(KEY)) {
       Peer client = peer(KEY, 0, (sender, message) -> {});
-      client.network.connect(mute.address());
-      mute.acceptAndProveKey();
+      client.network.connect(scripted.address());
+      scripted.acceptAndAuthenticate();
       assertThat(client.nextReachability()).isEqualTo(Reachability.CONNECTED);
       byte[] frame =
           FrameDecoder.frame(new RecordCodec().encodeMessage(SampleMessages.heartbeat(1)));
-      mute.write(Arrays.copyOf(frame, frame.length - 1));
-      mute.disconnect();
-      mute.acceptAndProveKey();
-      mute.write(FrameDecoder.frame(new RecordCodec().encodeMessage(SampleMessages.heartbeat(2))));
+      scripted.write(Arrays.copyOf(frame, frame.length - 1));
+      scripted.disconnect();
+      scripted.acceptAndAuthenticate();
+      scripted.write(
+          FrameDecoder.frame(new RecordCodec().encodeMessage(SampleMessages.heartbeat(2))));
       assertThat(client.nextMessage()).isEqualTo(SampleMessages.heartbeat(2));
     }
   }
 
   @Test
-  void slowReceiverStopsTheSenderNotTheMemory() throws Exception {
-    CountDownLatch gate = new CountDownLatch(1);
-    Peer server = peer(KEY, 0, (sender, message) -> await(gate));
+  void slowReceiverAppliesBackPressure() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
+    Peer server = peer(KEY, 0, (sender, message) -> await(release));
     Peer client = peer(KEY, 0, (sender, message) -> {});
     PeerMessage last = SampleMessages.heartbeat(3_000);
     for (int i = 1; i < 3_000; i++) {
@@ -212,7 +213,7 @@
     }
     client.network.send(server.address(), last);
     assertThat(server.nextMessage()).isNotNull();
-    gate.countDown();
+    release.countDown();
     PeerMessage message = server.nextMessage();
     while (!message.equals(last)) {
       message = server.nextMessage();
@@ -230,14 +231,14 @@
   }
 
   @Test
-  @Timeout(GIVE_UP_S)
-  void linksToPeersThatAreGoneDoNotPileUp() throws Exception {
+  @Timeout(TIMEOUT_S)
+  void unusedLinksAreClosed() throws Exception {
     Peer client = peer(KEY, 0, (sender, message) -> {});
     String address = "127.0.0.1:" + freePort();
     client.network.send(address, SampleMessages.heartbeat(1));
     assertThat(client.nextReachability()).isEqualTo(Reachability.REFUSED);
     clockMs.addAndGet(59_999);
-    assertThat(client.network.probe(address).get(GIVE_UP_S, TimeUnit.SECONDS))
+    assertThat(client.network.probe(address).get(TIMEOUT_S, TimeUnit.SECONDS))
         .isEqualTo(Reachability.REFUSED);
     assertThat(client.network.counters().links()).isEqualTo(1);
     clockMs.addAndGet(60_000);
@@ -248,7 +249,7 @@
   }
 
   @Test
-  void linksThatNobodyNeedsAreClosed() throws Exception {
+  void retainClosesOtherLinks() throws Exception {
     Peer server = peer(KEY, 0, (sender, message) -> {});
     Peer client = peer(KEY, 0, (sender, message) -> {});
     client.network.connect(server.address());
@@ -258,9 +259,9 @@
     assertThat(client.network.reachability(server.address())).isEqualTo(Reachability.UNKNOWN);
   }
 
-  private static void await(CountDownLatch gate) {
+  private static void await(CountDownLatch release) {
     try {
-      gate.await(GIVE_UP_S, TimeUnit.SECONDS);
+      release.await(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -268,8 +269,8 @@
 
   private Peer peer(SharedKey key, int port, PeerHandler handler) {
     Peer peer = new Peer(key, port, handler);
-    open.add(peer.network);
-    open.add(peer.thread);
+    resources.add(peer.network);
+    resources.add(peer.thread);
     return peer;
   }
 
@@ -279,7 +280,7 @@
     }
   }
 
-  /** One process of the network. */
+  /** A process with a peer network that records what it receives. */
   private final class Peer {
 
     private final BlockingQueue<PeerMessage> messages = new LinkedBlockingQueue<>();
@@ -311,15 +312,15 @@
     }
 
     PeerMessage nextMessage() throws InterruptedException {
-      return messages.poll(GIVE_UP_S, TimeUnit.SECONDS);
+      return messages.poll(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     String nextSender() throws InterruptedException {
-      return senders.poll(GIVE_UP_S, TimeUnit.SECONDS);
+      return senders.poll(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     Reachability nextReachability() throws InterruptedException {
-      return reachabilities.poll(GIVE_UP_S, TimeUnit.SECONDS);
+      return reachabilities.poll(TIMEOUT_S, TimeUnit.SECONDS);
     }
   }
 }
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/internal/FrameDecoderTest.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/internal/FrameDecoderTest.java
@@ -19,7 +19,8 @@
 class FrameDecoderTest {
 
   @Property(seed = "42", tries = 200)
-  void framesSurviveAnyCutting(@ForAll long seed, @ForAll @IntRange(min = 1, max = 9000) int cut) {
+  void framesAreDecodedFromAnyChunking(
+      @ForAll long seed, @ForAll @IntRange(min = 1, max = 9000) int chunkBytes) {
     Random random = new Random(seed);
     List<byte[]> frames = new ArrayList<>();
     ByteArrayOutputStream stream = new ByteArrayOutputStream();
@@ -29,7 +30,7 @@
       frames.add(content);
       stream.writeBytes(FrameDecoder.frame(content));
     }
-    List<byte[]> read = readInPieces(stream.toByteArray(), cut);
+    List<byte[]> read = readInChunks(stream.toByteArray(), chunkBytes);
     assertThat(read).hasSize(frames.size());
     for (int i = 0; i < frames.size(); i++) {
       assertThat(read.get(i)).isEqualTo(frames.get(i));
@@ -37,7 +38,7 @@
   }
 
   @Test
-  void claimedLengthAllocatesNothing() {
+  void declaredLengthIsNotAllocatedInAdvance() {
     FrameDecoder decoder = new FrameDecoder(FrameDecoder.MAX_FRAME_BYTES);
     ByteBuffer header = ByteBuffer.allocate(5).putInt(FrameDecoder.MAX_FRAME_BYTES).put((byte) 1);
     decoder.append(header.flip());
@@ -46,7 +47,7 @@
   }
 
   @Test
-  void overlongAndNegativeLengthsAreRefused() {
+  void tooLargeAndNegativeLengthsAreRejected() {
     for (int length : new int[] {513, Integer.MAX_VALUE, -1, Integer.MIN_VALUE}) {
       FrameDecoder decoder = new FrameDecoder(512);
       decoder.append(ByteBuffer.allocate(4).putInt(length).flip());
@@ -65,11 +66,11 @@
     assertThat(decoder.capacityBytes()).isLessThan(10_000);
   }
 
-  private static List<byte[]> readInPieces(byte[] stream, int cut) {
+  private static List<byte[]> readInChunks(byte[] stream, int chunkBytes) {
     FrameDecoder decoder = new FrameDecoder(FrameDecoder.MAX_FRAME_BYTES);
     List<byte[]> read = new ArrayList<>();
-    for (int start = 0; start < stream.length; start += cut) {
-      int count = Math.min(cut, stream.length - start);
+    for (int start = 0; start < stream.length; start += chunkBytes) {
+      int count = Math.min(chunkBytes, stream.length - start);
       decoder.append(ByteBuffer.wrap(stream, start, count));
       for (Optional<byte[]> frame = decoder.next(); frame.isPresent(); frame = decoder.next()) {
         read.add(frame.get());
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/internal/HandshakeTest.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/internal/HandshakeTest.java
@@ -14,11 +14,11 @@
 class HandshakeTest {
 
   private static final SharedKey KEY = new SharedKey("0123456789abcdef");
-  private static final SharedKey OTHER = new SharedKey("0123456789abcdeX");
+  private static final SharedKey OTHER_KEY = new SharedKey("0123456789abcdeX");
   private static final String ADDRESS = "127.0.0.1:7001";
 
   @Test
-  void bothSidesProveTheKey() {
+  void bothSidesAuthenticate() {
     Handshake client = Handshake.ofClient(KEY, nonce(1), ADDRESS);
     Handshake server = Handshake.ofServer(KEY, nonce(2));
     byte[] serverCode = server.onFrame(client.hello()).get();
@@ -31,40 +31,40 @@
   }
 
   @Test
-  void clientRefusesServerWithoutTheKey() {
+  void clientRejectsServerWithOtherKey() {
     Handshake client = Handshake.ofClient(KEY, nonce(1), ADDRESS);
-    byte[] code = Handshake.ofServer(OTHER, nonce(2)).onFrame(client.hello()).get();
-    assertRefused(client, code);
+    byte[] code = Handshake.ofServer(OTHER_KEY, nonce(2)).onFrame(client.hello()).get();
+    assertRejected(client, code);
   }
 
   @Test
-  void serverRefusesClientWithoutTheKey() {
+  void serverRejectsReplayedAndReflectedCodes() {
     Handshake server = Handshake.ofServer(KEY, nonce(2));
     byte[] serverCode = server.onFrame(hello(KEY)).get();
-    // A client that knows the key, but for another connection of the server.
+    // A code of a client with the right key, replayed from another connection of the server.
     Handshake replayed = Handshake.ofClient(KEY, nonce(1), ADDRESS);
     byte[] oldCode =
         replayed.onFrame(Handshake.ofServer(KEY, nonce(3)).onFrame(hello(KEY)).get()).get();
-    assertRefused(server, oldCode);
-    assertRefused(server, serverCode);
+    assertRejected(server, oldCode);
+    assertRejected(server, serverCode);
   }
 
   @Test
-  void codeCoversTheAddress() {
+  void codeCoversClientAddress() {
     Handshake server = Handshake.ofServer(KEY, nonce(2));
     byte[] serverCode =
         server.onFrame(Handshake.ofClient(KEY, nonce(1), "127.0.0.1:1").hello()).get();
     Handshake client = Handshake.ofClient(KEY, nonce(1), "127.0.0.1:2");
-    assertRefused(client, serverCode);
+    assertRejected(client, serverCode);
   }
 
   @Test
-  void reflectedNonceIsRefused() {
-    assertRefused(Handshake.ofServer(KEY, nonce(1)), hello(KEY));
+  void reflectedNonceIsRejected() {
+    assertRejected(Handshake.ofServer(KEY, nonce(1)), hello(KEY));
   }
 
   @Test
-  void damagedFramesNeverProveAnything() {
+  void corruptedFramesNeverAuthenticate() {
     Random random = new Random(11);
     for (int i = 0; i < 5000; i++) {
       Handshake server = Handshake.ofServer(KEY, nonce(2));
@@ -86,7 +86,7 @@
     return Handshake.ofClient(key, nonce(1), ADDRESS).hello();
   }
 
-  private static void assertRefused(Handshake side, byte[] frame) {
+  private static void assertRejected(Handshake side, byte[] frame) {
     CodedException error = assertThrows(CodedException.class, () -> side.onFrame(frame));
     assertThat(error.code()).isEqualTo(ErrorCode.PROTOCOL);
     assertThat(side.isDone()).isFalse();
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/internal/OutboundQueueTest.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/internal/OutboundQueueTest.java
@@ -7,7 +7,7 @@
 class OutboundQueueTest {
 
   @Test
-  void oldestHeartbeatGoesFirst() {
+  void oldestReplaceableFrameIsDroppedFirst() {
     OutboundQueue queue = new OutboundQueue(3);
     queue.add(new byte[] {1}, false);
     queue.add(new byte[] {2}, true);
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void withoutHeartbeatsTheOldestGoes() {
+  void oldestFrameIsDroppedWithoutReplaceableFrames() {
     OutboundQueue queue = new OutboundQueue(2);
     for (byte i = 1; i <= 5; i++) {
       queue.add(new byte[] {i}, false);
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void bytesAreBoundedToo() {
+  void queuedBytesAreBounded() {
     OutboundQueue queue = new OutboundQueue(1000);
     for (int i = 0; i < 6; i++) {
       queue.add(new byte[FrameDecoder.MAX_FRAME_BYTES], false);
