--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerServer.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerServer.java
@@ -79,7 +79,7 @@
     try {
       listener.close();
     } catch (IOException ignored) {
-      // The server is shutting down; nothing depends on this listener any more.
+      // The process is stopping.
     }
     for (InboundConnection peer : List.copyOf(inbound)) {
       peer.connection.close(new CloseReason(CloseReason.Kind.LOCAL, "closed"));
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/TcpPeerNetwork.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/TcpPeerNetwork.java
@@ -142,7 +142,7 @@
   private PeerLink open(String peerAddress) {
     PeerNetworkSettings settings = context.settings();
     if (links.size() >= PeerServer.MAX_CONNECTIONS) {
-      throw new CodedException(ErrorCode.UNAVAILABLE, "too many links to peers: limit reached");
+      throw new CodedException(ErrorCode.UNAVAILABLE, "too many links to peers");
     }
     Backoff backoff = new Backoff(settings.backoffMinMs(), settings.backoffMaxMs(), random);
     return new PeerLink(context, listener, localAddress(), peerAddress, backoff);
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/TcpPeerNetworkTest.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/TcpPeerNetworkTest.java
@@ -222,7 +222,7 @@
   }
 
   @Test
-  void unusableAddressesAreIgnored() throws Exception {
+  void invalidAddressesAreIgnored() throws Exception {
     Peer client = peer(KEY, 0, (sender, message) -> {});
     for (String address : List.of("", "localhost:1", "127.0.0.1", "127.0.0.1:0", "1.2.3.4:x")) {
       client.network.send(address, SampleMessages.heartbeat(1));
