--- a/cuminvalve-router/src/main/java/io/cuminvalve/router/control/CellDesks.java
+++ b/cuminvalve-router/src/main/java/io/cuminvalve/router/control/CellDesks.java
@@ -92,7 +92,8 @@
     this.admission =
         new AdmissionCoordinator(
             cell, self, incarnation, AdmissionSettings.DEFAULT, new Admissions());
-    this.intents = new IntentCoordinator(cell, self, incarnation, IntentSettings.DEFAULT, new Intents());
+    this.intents =
+        new IntentCoordinator(cell, self, incarnation, IntentSettings.DEFAULT, new Intents());
   }
 
   /**
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerServer.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/PeerServer.java
@@ -20,23 +20,24 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Accepts connections of peers. All but {@link #localAddress} runs on the reactor's thread.
+ * Accepts connections from peers. All methods except the constructor, {@link #localAddress} and the
+ * counters run on the reactor thread.
  *
  * @since 0.1
  */
 final class PeerServer {
 
-  /** More connections than this are closed at once. */
+  /** The maximum number of inbound connections; further ones are closed on accept. */
   static final int MAX_CONNECTIONS = 4096;
 
-  /** A connection is closed after this many times the span after which a link counts as silent. */
+  /** A connection is closed after receiving nothing for this multiple of {@code silentAfterMs}. */
   private static final int IDLE_FACTOR = 20;
 
   private static final int BACKLOG = 256;
 
   private final PeerContext context;
   private final ServerSocketChannel listener;
-  private final Set<Inbound> inbound = ConcurrentHashMap.newKeySet();
+  private final Set<InboundConnection> inbound = ConcurrentHashMap.newKeySet();
 
   PeerServer(PeerContext context) {
     this.context = context;
@@ -51,7 +52,7 @@
     } catch (IOException failure) {
       throw new CodedException(
           ErrorCode.UNAVAILABLE,
-          "peer port cannot be opened: " + settings.bindHost() + ":" + settings.bindPort(),
+          "cannot bind peer listener: " + settings.bindHost() + ":" + settings.bindPort(),
           failure);
     }
   }
@@ -69,7 +70,7 @@
   }
 
   void tick(long nowMs) {
-    for (Inbound peer : inbound) {
+    for (InboundConnection peer : inbound) {
       peer.tick(nowMs);
     }
   }
@@ -80,7 +81,7 @@
     } catch (IOException ignored) {
       // The process is stopping.
     }
-    for (Inbound peer : List.copyOf(inbound)) {
+    for (InboundConnection peer : List.copyOf(inbound)) {
       peer.connection.close(new CloseReason(CloseReason.Kind.LOCAL, "closed"));
     }
   }
@@ -93,7 +94,7 @@
         serve(channel);
       }
     } catch (IOException exhausted) {
-      // The process has no descriptors left: the peer tries again.
+      // The process has run out of file descriptors; the peer will reconnect.
       context.countRejected();
     }
   }
@@ -106,21 +107,21 @@
     }
     channel.configureBlocking(false);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    Inbound peer = new Inbound(channel);
+    InboundConnection peer = new InboundConnection(channel);
     inbound.add(peer);
     peer.connection.register(context.reactor());
   }
 
-  /** A connection that a peer opened. */
-  private final class Inbound implements PeerChannel, ConnectionListener {
+  /** A connection opened by a peer. */
+  private final class InboundConnection implements PeerChannel, ConnectionListener {
 
     private final OutboundQueue queue = new OutboundQueue(context.settings().queueCapacity());
     private final Connection connection;
     private final Delivery delivery;
-    private long lastHeardMs = context.clock().nowMs();
+    private long lastReceivedMs = context.clock().nowMs();
     private volatile boolean closed;
 
-    Inbound(SocketChannel channel) {
+    InboundConnection(SocketChannel channel) {
       this.connection = new Connection(channel, context.serverHandshake(), queue, true, this);
       this.delivery = new Delivery(context.executor(), context.reactor(), connection);
     }
@@ -143,21 +144,21 @@
     void tick(long nowMs) {
       boolean established = connection.isEstablished();
       PeerNetworkSettings settings = context.settings();
-      long boundMs =
+      long timeoutMs =
           established ? IDLE_FACTOR * settings.silentAfterMs() : settings.connectTimeoutMs();
-      if (nowMs - lastHeardMs >= boundMs) {
-        connection.close(new CloseReason(CloseReason.Kind.SILENT, "no sign of life"));
+      if (nowMs - lastReceivedMs >= timeoutMs) {
+        connection.close(new CloseReason(CloseReason.Kind.SILENT, "no data received in time"));
       }
     }
 
     @Override
     public void onEstablished(Connection established) {
-      lastHeardMs = context.clock().nowMs();
+      lastReceivedMs = context.clock().nowMs();
     }
 
     @Override
-    public void onSignOfLife(Connection from) {
-      lastHeardMs = context.clock().nowMs();
+    public void onDataReceived(Connection from) {
+      lastReceivedMs = context.clock().nowMs();
     }
 
     @Override
--- a/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ScalarCodecs.java
+++ b/cuminvalve-wire/src/main/java/io/cuminvalve/wire/internal/ScalarCodecs.java
@@ -17,36 +17,38 @@
   static Map<Type, ValueCodec> all() {
     return Map.of(
         int.class,
-        new Scalar((packer, value) -> packer.packInt((Integer) value), ValueReader::readInt, 0),
+        new FunctionCodec(
+            (packer, value) -> packer.packInt((Integer) value), ValueReader::readInt, 0),
         long.class,
-        new Scalar((packer, value) -> packer.packLong((Long) value), ValueReader::readLong, 0L),
+        new FunctionCodec(
+            (packer, value) -> packer.packLong((Long) value), ValueReader::readLong, 0L),
         double.class,
-        new Scalar(
+        new FunctionCodec(
             (packer, value) -> packer.packDouble((Double) value), ValueReader::readDouble, 0.0),
         boolean.class,
-        new Scalar(
+        new FunctionCodec(
             (packer, value) -> packer.packBoolean((Boolean) value),
             ValueReader::readBoolean,
             false),
         String.class,
-        new Scalar(
+        new FunctionCodec(
             (packer, value) -> packer.packString((String) value), ValueReader::readString, ""));
   }
 
-  /** Writes one value. */
+  /** Encodes a value. */
   @FunctionalInterface
   interface Writing {
     void write(MessagePacker packer, Object value) throws IOException;
   }
 
-  /** Reads one value. */
+  /** Decodes a value. */
   @FunctionalInterface
   interface Reading {
     Object read(ValueReader reader) throws IOException;
   }
 
-  /** A codec of two functions and a default. */
-  record Scalar(Writing writing, Reading reading, Object missing) implements ValueCodec {
+  /** A codec that consists of two functions and a default value. */
+  record FunctionCodec(Writing writing, Reading reading, Object missing) implements ValueCodec {
 
     @Override
     public void write(MessagePacker packer, Object value) throws IOException {
--- a/cuminvalve-wire/src/test/java/io/cuminvalve/wire/MutePeer.java
+++ b/cuminvalve-wire/src/test/java/io/cuminvalve/wire/ScriptedPeer.java
@@ -9,14 +9,14 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** A peer that knows the key and then does only what a test says. */
-final class MutePeer implements AutoCloseable {
+/** A peer that authenticates with the shared key and then sends only what the test writes. */
+final class ScriptedPeer implements AutoCloseable {
 
   private final SharedKey key;
   private final ServerSocket server;
   private Socket socket;
 
-  MutePeer(SharedKey key) throws IOException {
+  ScriptedPeer(SharedKey key) throws IOException {
     this.key = key;
     this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   }
@@ -25,7 +25,7 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  void acceptAndProveKey() throws IOException {
+  void acceptAndAuthenticate() throws IOException {
     socket = server.accept();
     Handshake handshake = Handshake.ofServer(key, new byte[Handshake.NONCE_BYTES]);
     write(FrameDecoder.frame(handshake.onFrame(readFrame()).orElseThrow()));
