--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/lease/LeaseManager.java
@@ -129,7 +129,7 @@
    * @param nowMs the current time; milliseconds
    * @return never null
    */
-  public List<RemainingLease> leasesLeft(long nowMs) {
+  public List<RemainingLease> remainingLeases(long nowMs) {
     List<RemainingLease> result = new ArrayList<>();
     for (LeasedRange leased : ranges) {
       addRemaining(leased.range(), leased.owner(), leased.ownerUntilMs() - nowMs, result);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetBackoffsReport.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetBackoffsReport.java
@@ -7,14 +7,14 @@
  * sender.
  *
  * @param process the sender's id; not null
- * @param rests the back-offs in effect at the sender; not null
+ * @param backoffs the back-offs in effect at the sender; not null
  * @since 0.2
  */
-public record TargetBackoffsReport(String process, List<TargetBackoff> rests)
+public record TargetBackoffsReport(String process, List<TargetBackoff> backoffs)
     implements FleetMessage {
 
   /** Copies the list. */
   public TargetBackoffsReport {
-    rests = List.copyOf(rests);
+    backoffs = List.copyOf(backoffs);
   }
 }
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetLatencyReport.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/TargetLatencyReport.java
@@ -5,13 +5,13 @@
 /**
  * Sent by every process to the term holder: the response times of targets since the last report.
  *
- * @param times one entry for each target that responded; not null
+ * @param latencies one entry for each target that responded; not null
  * @since 0.2
  */
-public record TargetLatencyReport(List<TargetLatency> times) implements FleetMessage {
+public record TargetLatencyReport(List<TargetLatency> latencies) implements FleetMessage {
 
   /** Copies the list. */
   public TargetLatencyReport {
-    times = List.copyOf(times);
+    latencies = List.copyOf(latencies);
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseManagerTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseManagerTest.java
@@ -242,7 +242,7 @@
     next.move(FIRST_KEYS, B, 1_000);
     next.onWritten(next.version());
     assertThat(grantsTo(B, next.due(1_000, target -> true))).isEmpty();
-    next.limitForeignLeases(manager.leasesLeft(1_000), 1_000);
+    next.limitForeignLeases(manager.remainingLeases(1_000), 1_000);
     long endsMs = TIMINGS.boundMs(TIMINGS.leaseMs());
     assertThat(grantsTo(B, next.due(endsMs - 1, target -> true))).isEmpty();
     assertThat(grantsTo(B, next.due(endsMs, target -> true))).hasSize(1);
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
@@ -130,7 +130,7 @@
       managers.forEach(
           (service, manager) ->
               manager.limitForeignLeases(
-                  predecessor.managers.get(service).leasesLeft(predecessor.clock.nowMs()),
+                  predecessor.managers.get(service).remainingLeases(predecessor.clock.nowMs()),
                   clock.nowMs()));
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ConfigurationWatch.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ConfigurationWatch.java
@@ -161,7 +161,7 @@
    *
    * @param value the configuration that gateway knows; not null
    */
-  public void onNews(StoreValue value) {
+  public void onUpdate(StoreValue value) {
     // A store restored from an older copy has an older version under a later revision.
     follower.advanceTo(value.revision());
     install(value);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
@@ -55,7 +55,7 @@
    */
   private static final long TRIAL_DURATION_MS = 1_500;
 
-  private final CrashTracker ledger;
+  private final CrashTracker crashTracker;
   private final RequestQuarantine quarantine;
   private final Peers peers;
   private final StateExchange<CrashUpdate> exchange;
@@ -69,12 +69,12 @@
   private final Map<RequestFingerprint, Integer> crashCounts = new HashMap<>();
 
   CrashCoordinator(
-      CrashTracker ledger,
+      CrashTracker crashTracker,
       RequestQuarantine quarantine,
       Peers peers,
       MillisClock clock,
       DecisionLog log) {
-    this.ledger = ledger;
+    this.crashTracker = crashTracker;
     this.quarantine = quarantine;
     this.peers = peers;
     this.exchange = new StateExchange<>(this, peers);
@@ -103,7 +103,7 @@
 
   private void recordCrash(
       RequestFingerprint fingerprint, CrashedRun run, long nowMs, Set<RequestFingerprint> changed) {
-    if (ledger.onCrash(fingerprint, run, nowMs)) {
+    if (crashTracker.onCrash(fingerprint, run, nowMs)) {
       changed.add(fingerprint);
     }
   }
@@ -111,17 +111,17 @@
   /** Processes the response to a watched request that this gateway forwarded. */
   void onAnswered(RequestFingerprint fingerprint) {
     long nowMs = clock.nowMs();
-    if (ledger.onAnswer(fingerprint, nowMs, nowMs)) {
+    if (crashTracker.onAnswer(fingerprint, nowMs, nowMs)) {
       applyChanges(Set.of(fingerprint), Set.of());
     }
   }
 
   /** Processes crashes sent by another process. */
-  void onNews(CrashUpdate update, Consumer<FleetMessage> sender) {
+  void onUpdate(CrashUpdate update, Consumer<FleetMessage> sender) {
     long nowMs = clock.nowMs();
     Set<RequestFingerprint> learned = new LinkedHashSet<>();
     for (CrashReport report : update.reports()) {
-      if (ledger.merge(report, nowMs)) {
+      if (crashTracker.merge(report, nowMs)) {
         learned.add(report.fingerprint());
       }
     }
@@ -136,16 +136,16 @@
     Set<RequestFingerprint> missing = new HashSet<>(watched);
     for (CrashReport report : received.reports()) {
       RequestFingerprint fingerprint = report.fingerprint();
-      if (report.runs().size() >= ledger.crashesOf(fingerprint).size()) {
+      if (report.runs().size() >= crashTracker.crashesOf(fingerprint).size()) {
         missing.remove(fingerprint);
       }
-      if (!watched.contains(fingerprint) && ledger.wasAnswered(fingerprint)) {
+      if (!watched.contains(fingerprint) && crashTracker.wasAnswered(fingerprint)) {
         missing.add(fingerprint);
       }
     }
     return missing.isEmpty()
         ? Optional.empty()
-        : Optional.of(new CrashUpdate(false, ledger.reports(missing, clock.nowMs())));
+        : Optional.of(new CrashUpdate(false, crashTracker.reports(missing, clock.nowMs())));
   }
 
   /** Requests a trial permit for a watched request of this gateway. */
@@ -180,7 +180,7 @@
 
   @Override
   public CrashUpdate complete() {
-    return new CrashUpdate(true, ledger.reports(watched, clock.nowMs()));
+    return new CrashUpdate(true, crashTracker.reports(watched, clock.nowMs()));
   }
 
   /** Returns a digest of the watched requests and their crashes; 0 if there is none. */
@@ -191,7 +191,7 @@
   }
 
   private long digestOf(RequestFingerprint fingerprint) {
-    return fingerprint.value() * ledger.crashesOf(fingerprint).size();
+    return fingerprint.value() * crashTracker.crashesOf(fingerprint).size();
   }
 
   /**
@@ -201,7 +201,7 @@
   void onHolderAndDeputies(Optional<String> holderAddress, Collection<String> deputies) {
     Set<String> added = exchange.onHolderAndDeputies(holderAddress, deputies);
     if (!added.isEmpty() && !locallySeen.isEmpty()) {
-      CrashUpdate all = new CrashUpdate(false, ledger.reports(locallySeen, clock.nowMs()));
+      CrashUpdate all = new CrashUpdate(false, crashTracker.reports(locallySeen, clock.nowMs()));
       added.forEach(address -> peers.tell(address, all));
     }
   }
@@ -230,26 +230,27 @@
     long digest = quarantined.keySet().stream().mapToLong(this::digestOf).sum();
     if (digest != persistedDigest) {
       persistedDigest = digest;
-      peers.persist(new CrashUpdate(false, ledger.reports(quarantined.keySet(), clock.nowMs())));
+      peers.persist(
+          new CrashUpdate(false, crashTracker.reports(quarantined.keySet(), clock.nowMs())));
     }
   }
 
   /** Merges the quarantine stored by the previous holder, after this process acquired the term. */
   void onStored(CrashUpdate stored) {
-    onNews(stored, message -> {});
+    onUpdate(stored, message -> {});
     persistQuarantined();
   }
 
   private void tellHolderAndDeputies(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
       exchange.tellHolderAndDeputies(
-          new CrashUpdate(false, ledger.reports(changed, clock.nowMs())));
+          new CrashUpdate(false, crashTracker.reports(changed, clock.nowMs())));
     }
   }
 
   private void sendToFollowers(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      peers.sendToFollowers(new CrashUpdate(false, ledger.reports(changed, clock.nowMs())));
+      peers.sendToFollowers(new CrashUpdate(false, crashTracker.reports(changed, clock.nowMs())));
     }
   }
 
@@ -270,7 +271,7 @@
           .lastAnsweredMs(fingerprint)
           .ifPresent(
               atMs -> {
-                if (ledger.onAnswer(fingerprint, atMs, nowMs)) {
+                if (crashTracker.onAnswer(fingerprint, atMs, nowMs)) {
                   cleared.add(fingerprint);
                 }
               });
@@ -283,8 +284,8 @@
 
   private void refreshQuarantine() {
     long nowMs = clock.nowMs();
-    watched = ledger.watched(nowMs);
-    Map<RequestFingerprint, Long> now = ledger.quarantinedUntilMs(nowMs);
+    watched = crashTracker.watched(nowMs);
+    Map<RequestFingerprint, Long> now = crashTracker.quarantinedUntilMs(nowMs);
     now.forEach((fingerprint, untilMs) -> logBegin(fingerprint, untilMs - nowMs));
     quarantined.keySet().stream()
         .filter(fingerprint -> !now.containsKey(fingerprint))
@@ -295,7 +296,7 @@
 
   /** Logs a new quarantine and one that was extended by a further crash. */
   private void logBegin(RequestFingerprint fingerprint, long forMs) {
-    List<CrashedRun> crashes = ledger.crashesOf(fingerprint);
+    List<CrashedRun> crashes = crashTracker.crashesOf(fingerprint);
     Integer countBefore = crashCounts.put(fingerprint, crashes.size());
     if (countBefore != null && countBefore == crashes.size()) {
       return;
@@ -315,6 +316,6 @@
         "quarantine_ended",
         "fingerprint={} why={}",
         fingerprint,
-        ledger.wasAnswered(fingerprint) ? "answered" : "time");
+        crashTracker.wasAnswered(fingerprint) ? "answered" : "time");
   }
 }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashLink.java
@@ -38,11 +38,11 @@
       MillisClock clock,
       DecisionLog log,
       TrafficReports reports,
-      CrashTracker ledger) {
+      CrashTracker crashTracker) {
     super(network, subscribers);
     this.control = control;
     this.reports = reports;
-    this.coordinator = new CrashCoordinator(ledger, reports.quarantine(), this, clock, log);
+    this.coordinator = new CrashCoordinator(crashTracker, reports.quarantine(), this, clock, log);
     this.quarantineStore = new QuarantineStore(store, control, log, codec, coordinator::onStored);
   }
 
@@ -81,7 +81,7 @@
   /** Processes a message if it concerns requests that crash targets. */
   void onMessage(PeerChannel sender, PeerMessage message) {
     if (message instanceof CrashUpdate update) {
-      coordinator.onNews(update, sender::send);
+      coordinator.onUpdate(update, sender::send);
     } else if (message instanceof TrialRequest request) {
       coordinator.onTrialRequest(request.fingerprint(), sender::send);
     } else if (message instanceof TrialPermit permit) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
@@ -24,7 +24,7 @@
  */
 final class DepartureCoordinator implements StateExchange.LocalState<DepartureUpdate> {
 
-  private final DepartureTracker ledger = new DepartureTracker();
+  private final DepartureTracker tracker = new DepartureTracker();
   private final FleetMessenger peers;
   private final StateExchange<DepartureUpdate> exchange;
   private final MillisClock clock;
@@ -51,7 +51,7 @@
 
   /** Processes a departure that a target announced to this gateway. */
   void onSeen(TargetId target) {
-    if (ledger.add(target, clock.nowMs())) {
+    if (tracker.add(target, clock.nowMs())) {
       log.write("target_leaving", "target={} source=answer", target);
       applyChanges(List.of(target));
       exchange.tellHolderAndDeputies(updateOf(List.of(target)));
@@ -59,10 +59,10 @@
   }
 
   /** Processes departures sent by another process. */
-  void onNews(DepartureUpdate update, Consumer<FleetMessage> sender) {
+  void onUpdate(DepartureUpdate update, Consumer<FleetMessage> sender) {
     Set<TargetId> learned = new HashSet<>();
     for (DepartureReport report : update.reports()) {
-      if (ledger.merge(report, clock.nowMs())) {
+      if (tracker.merge(report, clock.nowMs())) {
         learned.add(report.target());
         log.write("target_leaving", "target={} source=heard", report.target());
       }
@@ -77,12 +77,12 @@
 
   /** Applies changes and sends them to followers; only the holder of the term has followers. */
   private void applyChanges(Collection<TargetId> changed) {
-    onChange.accept(ledger.targets());
+    onChange.accept(tracker.targets());
     peers.sendToFollowers(updateOf(changed));
   }
 
   private DepartureUpdate updateOf(Collection<TargetId> targets) {
-    return new DepartureUpdate(false, ledger.reports(targets, clock.nowMs()));
+    return new DepartureUpdate(false, tracker.reports(targets, clock.nowMs()));
   }
 
   /** Processes the digest of departures in the hello of another process. */
@@ -97,24 +97,24 @@
 
   /** Removes departures of targets that have not been registered for a long time. */
   void forget(Predicate<TargetId> registered) {
-    if (ledger.forget(registered, clock.nowMs())) {
-      onChange.accept(ledger.targets());
+    if (tracker.forget(registered, clock.nowMs())) {
+      onChange.accept(tracker.targets());
     }
   }
 
   @Override
   public long digest() {
-    return ledger.digest();
+    return tracker.digest();
   }
 
   @Override
   public DepartureUpdate complete() {
-    return new DepartureUpdate(true, ledger.reports(ledger.targets(), clock.nowMs()));
+    return new DepartureUpdate(true, tracker.reports(tracker.targets(), clock.nowMs()));
   }
 
   @Override
   public Optional<DepartureUpdate> missingFrom(DepartureUpdate received) {
-    Set<TargetId> missing = new HashSet<>(ledger.targets());
+    Set<TargetId> missing = new HashSet<>(tracker.targets());
     received.reports().forEach(report -> missing.remove(report.target()));
     return missing.isEmpty() ? Optional.empty() : Optional.of(updateOf(missing));
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureLink.java
@@ -66,7 +66,7 @@
   /** Processes a message if it concerns departures. */
   void onMessage(PeerChannel sender, PeerMessage message) {
     if (message instanceof DepartureUpdate update) {
-      coordinator.onNews(update, sender::send);
+      coordinator.onUpdate(update, sender::send);
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/EarlierLeaseExchange.java
@@ -38,7 +38,7 @@
     coordinator = Optional.of(gained);
     formerHolder = holderBefore;
     EarlierLeases.Snapshot received = earlierLeases.received();
-    complete = gained.onLeasesLeft(received.remaining(), received.takenMs());
+    complete = gained.onRemainingLeases(received.remaining(), received.takenMs());
     requestLeases();
   }
 
@@ -48,7 +48,7 @@
    */
   void onLost(TermCoordinator ended) {
     coordinator = Optional.empty();
-    RemainingLeases remaining = new RemainingLeases(ended.term(), ended.leasesLeft());
+    RemainingLeases remaining = new RemainingLeases(ended.term(), ended.remainingLeases());
     earlierLeases.onOwnTermEnded(remaining, clock.nowMs());
     subscribers.sendToAll(remaining);
   }
@@ -64,17 +64,17 @@
   }
 
   /** Handles the remaining leases of an ended holder, received from another gateway. */
-  void onLeasesLeft(RemainingLeases remaining) {
+  void onRemainingLeases(RemainingLeases remaining) {
     long nowMs = clock.nowMs();
     earlierLeases.onReceived(remaining, nowMs);
-    coordinator.ifPresent(holder -> complete |= holder.onLeasesLeft(remaining, nowMs));
+    coordinator.ifPresent(holder -> complete |= holder.onRemainingLeases(remaining, nowMs));
   }
 
   /**
    * Handles the request of the holder of a later term. If this process still holds an earlier term,
    * it stops at once.
    */
-  void onHolderEnded(PeerChannel sender, TermSuperseded ended) {
+  void onTermSuperseded(PeerChannel sender, TermSuperseded ended) {
     if (coordinator.isPresent() && coordinator.get().term() < ended.term()) {
       onTermReplaced.run();
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -47,9 +47,9 @@
 /**
  * Exchanges state between this gateway and the term holder.
  *
- * <p>Every gateway sends hellos to the holder at an interval. The holder answers each with a beat
- * and sends the targets and the owners whenever they change. A gateway that receives nothing for a
- * while follows the target registry itself. All methods run on the control thread.
+ * <p>Every gateway sends hellos to the holder at an interval. The holder answers each with a
+ * heartbeat and sends the targets and the owners whenever they change. A gateway that receives
+ * nothing for a while follows the target registry itself. All methods run on the control thread.
  *
  * @since 0.2
  */
@@ -58,11 +58,14 @@
   /** Interval between two load reports; a hot key has to be noticed within a second. */
   private static final long KEY_LOAD_INTERVAL_MS = 150;
 
-  /** Interval between two reports of response times; the speed of a target seldom changes. */
-  private static final long TARGET_TIMES_INTERVAL_MS = 1_000;
+  /**
+   * Interval between two reports of response times; the relative latency of a target seldom
+   * changes.
+   */
+  private static final long TARGET_LATENCIES_INTERVAL_MS = 1_000;
 
   /**
-   * A beat whose registry age exceeds this does not count as a sign of life of the holder: it
+   * A heartbeat whose registry age exceeds this does not count as a sign of life of the holder: it
    * covers one registry call, the pause between two calls, and some margin.
    */
   static final long STALE_REGISTRY_MS = 1_300;
@@ -90,17 +93,18 @@
   private static final long FIRST_LISTING_DELAY_MS = 60;
 
   /**
-   * Interval between two queries to deputies; several fit into the time for which a beat counts.
+   * Interval between two queries to deputies; several fit into the time for which a heartbeat
+   * counts.
    */
   private static final long DEPUTY_QUERY_INTERVAL_MS = 300;
 
-  /** Tolerated delay of a beat. */
-  private static final long MAX_BEAT_DELAY_MS = 150;
+  /** Tolerated delay of a heartbeat. */
+  private static final long MAX_HEARTBEAT_DELAY_MS = 150;
 
   /**
    * While the store answers, the holder confirms its term and configuration more often than this.
    */
-  private static final long FRESH_BEAT_AGE_MS = 1_200;
+  private static final long FRESH_HEARTBEAT_AGE_MS = 1_200;
 
   /**
    * If the store has answered another gateway within this time, it does not count as silent.
@@ -122,7 +126,7 @@
   private final DecisionLog log;
   private final GatewayPorts ports;
   private final GatewaySettings settings;
-  private final StartupReader firstLook;
+  private final StartupReader startupReader;
   private final TrafficReports reports;
   private final FleetTimings timings;
   private final TermView terms;
@@ -134,12 +138,12 @@
   private final CrashLink crashes;
   private final QuotaLink quotas;
   private final DepartureLink departures;
-  private final FallbackRegistryFollower ownRegistryLook;
+  private final FallbackRegistryFollower fallbackFollower;
   private final FleetView view = new FleetView();
   private volatile Optional<TermCoordinator> coordinator = Optional.empty();
   private Optional<String> holderAddress = Optional.empty();
   private UpperTime holderHeard;
-  private UpperTime lastFreshBeat;
+  private UpperTime lastFreshHeartbeat;
 
   /** The latest time at which the store is known to have answered another gateway. */
   private volatile UpperTime storeAnsweredOthers = UpperTime.NEVER;
@@ -162,7 +166,7 @@
       Runnable onTermReplaced,
       TermView terms,
       Deputies deputies,
-      CrashTracker ledger) {
+      CrashTracker crashTracker) {
     this.network = network;
     this.state = state;
     this.control = control;
@@ -170,13 +174,14 @@
     this.log = log;
     this.ports = ports;
     this.settings = settings;
-    this.firstLook = new StartupReader(ports, control, clock, log, codec, new FirstLookListener());
+    this.startupReader =
+        new StartupReader(ports, control, clock, log, codec, new FirstLookListener());
     this.reports = reports;
     this.timings = timings;
     this.earlierLeases = new EarlierLeaseExchange(network, subscribers, clock, onTermReplaced);
     this.crashes =
         new CrashLink(
-            network, subscribers, ports.store(), codec, control, clock, log, reports, ledger);
+            network, subscribers, ports.store(), codec, control, clock, log, reports, crashTracker);
     this.quotas =
         new QuotaLink(
             settings.process(), network, subscribers, state, control, clock, reports.quotas());
@@ -190,13 +195,13 @@
             log,
             reports.departures(),
             () -> coordinator.ifPresent(TermCoordinator::onDepartures));
-    this.ownRegistryLook = new FallbackRegistryFollower(ports, state, control, clock, log);
+    this.fallbackFollower = new FallbackRegistryFollower(ports, state, control, clock, log);
     this.terms = terms;
     this.deputies = deputies;
     this.configuration = configuration;
     this.startedMs = clock.nowMs();
     this.holderHeard = clock.upper();
-    this.lastFreshBeat = clock.upper();
+    this.lastFreshHeartbeat = clock.upper();
   }
 
   void start() {
@@ -205,20 +210,20 @@
     departures.start();
     state.watch(configuration::confirmed, timings::configurationMaxAgeMs, this::isStoreSilent);
     if (!settings.firstStart()) {
-      firstLook.readOwners();
+      startupReader.readOwners();
       control.schedule(this::listIfTargetsUnknown, FIRST_LISTING_DELAY_MS);
     }
     repeat(this::onHelloDue, timings::helloIntervalMs);
     repeat(this::checkAge, () -> AGE_CHECK_INTERVAL_MS);
     repeat(this::queryDeputies, () -> DEPUTY_QUERY_INTERVAL_MS);
     repeat(this::reportKeyLoad, () -> timings.scaledToFleet(KEY_LOAD_INTERVAL_MS));
-    repeat(this::reportTargetTimes, () -> timings.scaledToFleet(TARGET_TIMES_INTERVAL_MS));
+    repeat(this::reportTargetLatencies, () -> timings.scaledToFleet(TARGET_LATENCIES_INTERVAL_MS));
   }
 
   private void listIfTargetsUnknown() {
     if (state.targetsConfirmed().equals(UpperTime.NEVER)) {
       firstListingDueMs = Optional.of(clock.nowMs() + RegistryFollower.SILENT_AFTER_MS);
-      firstLook.listTargets();
+      startupReader.listTargets();
     }
   }
 
@@ -241,7 +246,7 @@
       Optional<String> holderBefore = holderAddress;
       holderAddress = Optional.empty();
       earlierLeases.onGained(now.get(), holderBefore);
-      ownRegistryLook.close();
+      fallbackFollower.close();
       crashes.onGained();
       quotas.onGained();
     } else {
@@ -262,23 +267,23 @@
   void onMessage(PeerChannel sender, PeerMessage message) {
     if (message instanceof FleetHello hello) {
       onHello(sender, hello);
-    } else if (message instanceof FleetSnapshot news) {
-      onNews(news);
+    } else if (message instanceof FleetSnapshot received) {
+      onSnapshot(received);
     } else if (message instanceof TermSuperseded ended) {
-      earlierLeases.onHolderEnded(sender, ended);
+      earlierLeases.onTermSuperseded(sender, ended);
     } else if (message instanceof RemainingLeases remaining) {
-      earlierLeases.onLeasesLeft(remaining);
+      earlierLeases.onRemainingLeases(remaining);
     } else if (message instanceof KeyLoadReport
         || message instanceof TargetLatencyReport
         || message instanceof TargetReplaced
         || message instanceof TargetBackoffsReport) {
       coordinator.ifPresent(current -> current.onReport(message));
-    } else if (message instanceof FleetHeartbeat beat) {
-      onBeat(sender, beat);
-    } else if (message instanceof FollowerHeartbeat beat) {
-      onFollowerBeat(beat);
-    } else if (message instanceof ConfigurationUpdate news) {
-      onConfigurationNews(news);
+    } else if (message instanceof FleetHeartbeat heartbeat) {
+      onHeartbeat(sender, heartbeat);
+    } else if (message instanceof FollowerHeartbeat heartbeat) {
+      onFollowerHeartbeat(heartbeat);
+    } else if (message instanceof ConfigurationUpdate update) {
+      onConfigurationUpdate(update);
     } else if (message instanceof TargetsPush push) {
       onTargetsPush(push);
     } else if (message instanceof RoutesPush push) {
@@ -300,7 +305,8 @@
       crashes.onHolderAndDeputies(Optional.empty(), subscribers.deputies());
       quotas.onHolderAndDeputies(Optional.empty(), subscribers.deputies(), subscribers.count() + 1);
       departures.onHolderAndDeputies(Optional.empty(), subscribers.deputies());
-      state.setMovesPossible(coordinator.get().termAgeMs() <= FRESH_BEAT_AGE_MS, clock.nowMs());
+      state.setMovesPossible(
+          coordinator.get().termAgeMs() <= FRESH_HEARTBEAT_AGE_MS, clock.nowMs());
       subscribers.removeSilent(clock.nowMs(), timings.helloIntervalMs());
       updateProcesses();
       return;
@@ -308,7 +314,7 @@
     sendHello();
     querySeedPeers();
     boolean silent = clock.upper().sinceMs(holderHeard) > timings.silenceTimeoutMs();
-    if (silent && !ownRegistryLook.isOpen()) {
+    if (silent && !fallbackFollower.isOpen()) {
       followRegistryDirectly();
     }
   }
@@ -322,10 +328,10 @@
       state.confirmTargets(coordinator.get().targetsConfirmed());
       return;
     }
-    ownRegistryLook.confirmTargets();
+    fallbackFollower.confirmTargets();
     boolean targetsUnknown = state.targetsConfirmed().equals(UpperTime.NEVER);
     boolean outdated = clock.upper().sinceMs(state.targetsConfirmed()) > MAX_TARGETS_AGE_MS;
-    if (outdated && !targetsUnknown && !ownRegistryLook.isOpen()) {
+    if (outdated && !targetsUnknown && !fallbackFollower.isOpen()) {
       followRegistryDirectly();
     }
   }
@@ -346,7 +352,7 @@
       return held.get().isStoreSilent();
     }
     boolean targetsUnknown = state.targetsConfirmed().equals(UpperTime.NEVER);
-    return ownRegistryLook.isSilent()
+    return fallbackFollower.isSilent()
         || (targetsUnknown && firstListingDueMs.filter(due -> clock.nowMs() >= due).isPresent());
   }
 
@@ -368,26 +374,29 @@
   }
 
   /**
-   * Queries deputies if no fresh beat has arrived in time: the holder has missed one, or the store
-   * does not answer it, and other gateways may have newer state.
+   * Queries deputies if no fresh heartbeat has arrived in time: the holder has missed one, or the
+   * store does not answer it, and other gateways may have newer state.
    */
   private void queryDeputies() {
     boolean overdue =
-        clock.upper().sinceMs(lastFreshBeat) > timings.helloIntervalMs() + MAX_BEAT_DELAY_MS;
+        clock.upper().sinceMs(lastFreshHeartbeat)
+            > timings.helloIntervalMs() + MAX_HEARTBEAT_DELAY_MS;
     if (coordinator.isEmpty() && overdue) {
       deputies.next().forEach(address -> network.send(address, hello()));
     }
   }
 
-  private void onFollowerBeat(FollowerHeartbeat beat) {
+  private void onFollowerHeartbeat(FollowerHeartbeat heartbeat) {
     if (coordinator.isPresent()) {
       return;
     }
-    UpperTime helloSent = new UpperTime(beat.helloSentMs());
-    recordStoreAnsweredOthers(helloSent, Math.min(beat.termAgeMs(), beat.configurationAgeMs()));
+    UpperTime helloSent = new UpperTime(heartbeat.helloSentMs());
+    recordStoreAnsweredOthers(
+        helloSent, Math.min(heartbeat.termAgeMs(), heartbeat.configurationAgeMs()));
     configuration.onHeard(
-        beat.configurationRevision(), helloSent.minusMs(beat.configurationAgeMs()));
-    terms.onHeard(beat.term(), beat.holderAddress(), helloSent.minusMs(beat.termAgeMs()));
+        heartbeat.configurationRevision(), helloSent.minusMs(heartbeat.configurationAgeMs()));
+    terms.onHeard(
+        heartbeat.term(), heartbeat.holderAddress(), helloSent.minusMs(heartbeat.termAgeMs()));
   }
 
   private void recordStoreAnsweredOthers(UpperTime helloSent, long ageMs) {
@@ -400,16 +409,16 @@
     reportBackoffs(reports.takeStartedBackoffsMs());
   }
 
-  private void reportTargetTimes() {
+  private void reportTargetLatencies() {
     report(reports.takeTargetTimes());
     reportBackoffs(reports.backoffsMs());
   }
 
   private void reportBackoffs(Map<TargetId, Long> leftMs) {
     if (!leftMs.isEmpty()) {
-      List<TargetBackoff> rests = new ArrayList<>();
-      leftMs.forEach((target, backoffMs) -> rests.add(new TargetBackoff(target, backoffMs)));
-      report(new TargetBackoffsReport(settings.process(), rests));
+      List<TargetBackoff> backoffs = new ArrayList<>();
+      leftMs.forEach((target, backoffMs) -> backoffs.add(new TargetBackoff(target, backoffMs)));
+      report(new TargetBackoffsReport(settings.process(), backoffs));
     }
   }
 
@@ -439,38 +448,40 @@
 
   private void followRegistryDirectly() {
     log.write("holder_silent", "holder={}", holderAddress.orElse("-"));
-    ownRegistryLook.open();
+    fallbackFollower.open();
     followsHolder = false;
     view.invalidateTargets();
   }
 
   /**
-   * Handles the answer of the holder to a hello. The time that the beat was in transit is unknown,
-   * so its content is taken to be as old as the hello.
+   * Handles the answer of the holder to a hello. The time that the heartbeat was in transit is
+   * unknown, so its content is taken to be as old as the hello.
    */
-  private void onBeat(PeerChannel holder, FleetHeartbeat beat) {
-    UpperTime helloSent = new UpperTime(beat.helloSentMs());
-    UpperTime confirmed = helloSent.minusMs(beat.termAgeMs());
-    if (coordinator.isPresent() || !terms.onHeard(beat.term(), holder.peerAddress(), confirmed)) {
+  private void onHeartbeat(PeerChannel holder, FleetHeartbeat heartbeat) {
+    UpperTime helloSent = new UpperTime(heartbeat.helloSentMs());
+    UpperTime confirmed = helloSent.minusMs(heartbeat.termAgeMs());
+    if (coordinator.isPresent()
+        || !terms.onHeard(heartbeat.term(), holder.peerAddress(), confirmed)) {
       return;
     }
-    deputies.onNamed(beat.deputies());
+    deputies.onNamed(heartbeat.deputies());
     crashes.onHolderAndDeputies(holderAddress, deputies.others());
-    quotas.onHolderAndDeputies(holderAddress, deputies.others(), Math.max(1, beat.processes()));
+    quotas.onHolderAndDeputies(
+        holderAddress, deputies.others(), Math.max(1, heartbeat.processes()));
     departures.onHolderAndDeputies(holderAddress, deputies.others());
-    state.setMovesPossible(beat.termAgeMs() <= FRESH_BEAT_AGE_MS, clock.nowMs());
-    if (Math.max(beat.termAgeMs(), beat.configurationAgeMs()) <= FRESH_BEAT_AGE_MS) {
-      lastFreshBeat = clock.upper();
+    state.setMovesPossible(heartbeat.termAgeMs() <= FRESH_HEARTBEAT_AGE_MS, clock.nowMs());
+    if (Math.max(heartbeat.termAgeMs(), heartbeat.configurationAgeMs()) <= FRESH_HEARTBEAT_AGE_MS) {
+      lastFreshHeartbeat = clock.upper();
     }
-    if (beat.registryAgeMs() <= STALE_REGISTRY_MS) {
+    if (heartbeat.registryAgeMs() <= STALE_REGISTRY_MS) {
       holderHeard = clock.upper();
     }
-    recordStoreAnsweredOthers(helloSent, beat.registryAgeMs());
-    confirmTargets(beat, helloSent);
+    recordStoreAnsweredOthers(helloSent, heartbeat.registryAgeMs());
+    confirmTargets(heartbeat, helloSent);
     configuration.onHeard(
-        beat.configurationRevision(), helloSent.minusMs(beat.configurationAgeMs()));
-    if (state.current().processes() != beat.processes()) {
-      state.update(snapshot -> snapshot.withProcesses(Math.max(1, beat.processes())));
+        heartbeat.configurationRevision(), helloSent.minusMs(heartbeat.configurationAgeMs()));
+    if (state.current().processes() != heartbeat.processes()) {
+      state.update(snapshot -> snapshot.withProcesses(Math.max(1, heartbeat.processes())));
     }
   }
 
@@ -479,16 +490,17 @@
    * A gateway that follows the registry itself returns to the holder once the state of the holder
    * is nearly as new.
    */
-  private void confirmTargets(FleetHeartbeat beat, UpperTime helloSent) {
+  private void confirmTargets(FleetHeartbeat heartbeat, UpperTime helloSent) {
     TargetsPush received = view.targets();
-    boolean current = received.term() == beat.term() && received.version() >= beat.targetsVersion();
+    boolean current =
+        received.term() == heartbeat.term() && received.version() >= heartbeat.targetsVersion();
     if (!current) {
       return;
     }
-    UpperTime confirmed = helloSent.minusMs(beat.registryAgeMs());
+    UpperTime confirmed = helloSent.minusMs(heartbeat.registryAgeMs());
     if (!followsHolder && clock.upper().sinceMs(confirmed) <= FRESH_TARGETS_MS) {
       followsHolder = true;
-      ownRegistryLook.close();
+      fallbackFollower.close();
       installTargets();
     }
     if (followsHolder) {
@@ -572,25 +584,26 @@
     }
   }
 
-  private void onConfigurationNews(ConfigurationUpdate news) {
-    if (news.configuration().length > 0) {
-      configuration.onNews(new StoreValue(news.configuration(), news.revision()));
+  private void onConfigurationUpdate(ConfigurationUpdate update) {
+    if (update.configuration().length > 0) {
+      configuration.onUpdate(new StoreValue(update.configuration(), update.revision()));
     } else {
-      configuration.onHeard(news.revision(), UpperTime.NEVER);
+      configuration.onHeard(update.revision(), UpperTime.NEVER);
     }
   }
 
-  private void onNews(FleetSnapshot news) {
-    if (news.configuration().length > 0) {
-      configuration.onNews(new StoreValue(news.configuration(), news.configurationRevision()));
+  private void onSnapshot(FleetSnapshot received) {
+    if (received.configuration().length > 0) {
+      configuration.onUpdate(
+          new StoreValue(received.configuration(), received.configurationRevision()));
     }
-    if (coordinator.isEmpty() && holderAddress.isEmpty() && !news.holderAddress().isEmpty()) {
-      setHolder(news.holderAddress());
+    if (coordinator.isEmpty() && holderAddress.isEmpty() && !received.holderAddress().isEmpty()) {
+      setHolder(received.holderAddress());
     }
     if (state.current().targets().isEmpty()) {
-      state.update(snapshot -> snapshot.withTargets(news.targets().targets()));
+      state.update(snapshot -> snapshot.withTargets(received.targets().targets()));
     }
-    onRoutesPush(news.routes());
+    onRoutesPush(received.routes());
   }
 
   private void onHello(PeerChannel sender, FleetHello hello) {
@@ -649,9 +662,9 @@
 
   @Override
   public void onRoutes(long term, long version, List<ServiceRanges> services) {
-    FleetMessage news = view.publishRoutes(term, version, services);
+    FleetMessage change = view.publishRoutes(term, version, services);
     installRoutes();
-    subscribers.sendToAll(news);
+    subscribers.sendToAll(change);
   }
 
   /** Applies what the store returned at start, until a holder supplies newer state. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetTimings.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetTimings.java
@@ -30,8 +30,8 @@
    */
   private static final double SILENCE_TIMEOUT_HELLOS = 3.2;
 
-  /** Upper bound on the time for a store call of the holder and the transit of its beat. */
-  private static final long BEAT_DELAY_MS = 150;
+  /** Upper bound on the time for a store call of the holder and the transit of its heartbeat. */
+  private static final long HEARTBEAT_DELAY_MS = 150;
 
   /**
    * A new configuration has to be in force within 2 s, minus the transit time of a request to its
@@ -70,13 +70,13 @@
   /**
    * Returns the maximum age of state that the holder confirms; milliseconds.
    *
-   * <p>The state of the holder is itself up to one short watch old when it sends a beat. In a small
-   * fleet the result is 1.1 s and tolerates one lost beat: if a watch, the link to the holder and
-   * the next watch all fall silent, a change is delayed by less than the 2 s within which a
-   * configuration has to be in force.
+   * <p>The state of the holder is itself up to one short watch old when it sends a heartbeat. In a
+   * small fleet the result is 1.1 s and tolerates one lost heartbeat: if a watch, the link to the
+   * holder and the next watch all fall silent, a change is delayed by less than the 2 s within
+   * which a configuration has to be in force.
    */
   long confirmedMs() {
-    return Math.min(MAX_CONFIRMED_AGE_MS, silenceTimeoutMs() + BEAT_DELAY_MS);
+    return Math.min(MAX_CONFIRMED_AGE_MS, silenceTimeoutMs() + HEARTBEAT_DELAY_MS);
   }
 
   /** Returns the age of the configuration from which requests are no longer sent; milliseconds. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
@@ -23,7 +23,8 @@
 import java.util.function.Function;
 
 /**
- * Sends lease orders (grants and releases) to the targets and passes the replies to the lease desk.
+ * Sends lease orders (grants and releases) to the targets and passes the replies to the lease
+ * manager.
  */
 final class OrderSender {
 
@@ -92,7 +93,7 @@
     return true;
   }
 
-  void send(LeaseManager desk, LeaseOrder order) {
+  void send(LeaseManager leaseManager, LeaseOrder order) {
     long sentMs = clock.nowMs();
     UpperTime decided = clock.upper();
     Optional<String> address = addresses.apply(order.target());
@@ -103,7 +104,7 @@
                 () ->
                     CompletableFuture.completedFuture(
                         new OrderReply(OrderOutcome.NOT_SENT, Optional.empty(), false)));
-    reply.thenAcceptAsync(answer -> onReply(desk, order, answer, sentMs), control);
+    reply.thenAcceptAsync(answer -> onReply(leaseManager, order, answer, sentMs), control);
   }
 
   private CompletableFuture<OrderReply> dispatch(
@@ -127,7 +128,7 @@
     return obstacle.isEmpty();
   }
 
-  private void onReply(LeaseManager desk, LeaseOrder order, OrderReply reply, long sentMs) {
+  private void onReply(LeaseManager leaseManager, LeaseOrder order, OrderReply reply, long sentMs) {
     if (closed) {
       return;
     }
@@ -138,13 +139,13 @@
       if (reply.outcome() != OrderOutcome.DONE) {
         logOrder("grant_failed", order, reply, nowMs - sentMs);
       }
-      boolean opened = desk.onGrantEnded(grant, reply.outcome(), sentMs, nowMs);
+      boolean opened = leaseManager.onGrantEnded(grant, reply.outcome(), sentMs, nowMs);
       if (opened) {
         logOrder("keys_granted", order, reply, nowMs - sentMs);
       }
     } else if (order instanceof LeaseOrder.Release release) {
       logOrder("release_ended", order, reply, nowMs - sentMs);
-      desk.onReleaseEnded(release, reply.outcome(), reply.handover(), nowMs);
+      leaseManager.onReleaseEnded(release, reply.outcome(), reply.handover(), nowMs);
     }
     if (reply.outcome() == OrderOutcome.OTHER_TARGET) {
       onTargetReplaced.accept(order.target());
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuarantineStore.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuarantineStore.java
@@ -94,8 +94,8 @@
   private void decode(StoreValue value) {
     try {
       PeerMessage stored = codec.decodeMessage(value.value());
-      if (stored instanceof CrashUpdate news) {
-        onRead.accept(news);
+      if (stored instanceof CrashUpdate update) {
+        onRead.accept(update);
       }
     } catch (CodedException unreadable) {
       log.write("crashes_unreadable", "revision={} why=\"{}\"", value.revision(), unreadable);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
@@ -84,7 +84,7 @@
   }
 
   /** Processes limits sent by another process. */
-  void onNews(LimitUpdate update, Consumer<FleetMessage> sender) {
+  void onUpdate(LimitUpdate update, Consumer<FleetMessage> sender) {
     applyLimits(quotas.merge(update.reports()));
     if (update.complete()) {
       exchange.onComplete(update, sender);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaLink.java
@@ -71,7 +71,7 @@
     } else if (message instanceof QuotaReply reply) {
       quotas.onReply(reply);
     } else if (message instanceof LimitUpdate update) {
-      coordinator.onNews(update, sender::send);
+      coordinator.onUpdate(update, sender::send);
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
@@ -34,11 +34,11 @@
   /** Handles a report of a gateway about the targets that it sends nothing to for now. */
   void onReport(TargetBackoffsReport report) {
     removeExpired();
-    for (TargetBackoff rest : report.rests()) {
-      if (rest.leftMs() > MIN_REST_MS) {
+    for (TargetBackoff backoff : report.backoffs()) {
+      if (backoff.leftMs() > MIN_REST_MS) {
         endsMs
-            .computeIfAbsent(rest.target(), id -> new HashMap<>())
-            .put(report.process(), clock.nowMs() + rest.leftMs());
+            .computeIfAbsent(backoff.target(), id -> new HashMap<>())
+            .put(report.process(), clock.nowMs() + backoff.leftMs());
       }
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
@@ -55,7 +55,7 @@
    * Interval between two searches for fragmented ranges, and so the minimum time for which a new
    * fragment is left in place.
    */
-  private static final long TIDY_INTERVAL_MS = 500;
+  private static final long DEFRAGMENT_INTERVAL_MS = 500;
 
   /**
    * Time constant of the decay of load measurements; short, since hot keys come and go within
@@ -81,14 +81,14 @@
   private static final int QUEUED_PER_SLOT = 5;
 
   private final ServiceId service;
-  private final LeaseManager desk;
+  private final LeaseManager leaseManager;
   private final DecisionLog log;
   private final KeyLoads loads;
-  private final RelativeLatencies speeds = new RelativeLatencies();
+  private final RelativeLatencies relativeLatencies = new RelativeLatencies();
   private final Predicate<TargetId> isResting;
   private final RateLimitCapacity capacity;
   private final Set<TargetId> busyTargets = new HashSet<>();
-  private final RangeDefragmenter tidier = new RangeDefragmenter();
+  private final RangeDefragmenter defragmenter = new RangeDefragmenter();
   private final OverloadPolicy overloadPolicy = new OverloadPolicy();
   private final MovePlanner planner =
       new MovePlanner(new HotKeyPlacement(), new RangeBalancer(BalancerSettings.DEFAULT));
@@ -98,17 +98,17 @@
   private int lastTargetCount;
   private long targetsChangedMs;
   private long balancedMs;
-  private long tidiedMs;
+  private long defragmentedMs;
 
   ServicePlanner(
       ServiceId service,
-      LeaseManager desk,
+      LeaseManager leaseManager,
       DecisionLog log,
       Function<TargetId, OptionalDouble> limits,
       Predicate<TargetId> isResting,
       long nowMs) {
     this.service = service;
-    this.desk = desk;
+    this.leaseManager = leaseManager;
     this.log = log;
     this.loads = new KeyLoads(LOAD_TIME_CONSTANT_MS, nowMs);
     this.isResting = isResting;
@@ -116,22 +116,22 @@
     this.startedMs = nowMs;
     this.targetsChangedMs = nowMs;
     this.balancedMs = nowMs;
-    this.tidiedMs = nowMs;
+    this.defragmentedMs = nowMs;
   }
 
-  LeaseManager desk() {
-    return desk;
+  LeaseManager leaseManager() {
+    return leaseManager;
   }
 
   /** Returns whether {@link #routes()} has changed since it was last called. */
   boolean routesChanged() {
-    return refusalsChanged || desk.routesChanged();
+    return refusalsChanged || leaseManager.routesChanged();
   }
 
   /** Returns the current routes and marks them as published. */
   List<RangeRoute> routes() {
     refusalsChanged = false;
-    return desk.routes(range -> refusedPercent.getOrDefault(range, 0));
+    return leaseManager.routes(range -> refusedPercent.getOrDefault(range, 0));
   }
 
   void onKeyLoad(KeyLoadReport report) {
@@ -149,9 +149,10 @@
    * Takes response times of a target. Times of a busy target are ignored, since they reflect its
    * queue rather than its speed.
    */
-  void onTargetTime(TargetLatency time) {
-    if (!busyTargets.contains(time.target())) {
-      speeds.onAnswers(time.target(), time.meanRelativeLatency(), time.answers());
+  void onTargetLatency(TargetLatency latency) {
+    if (!busyTargets.contains(latency.target())) {
+      relativeLatencies.onAnswers(
+          latency.target(), latency.meanRelativeLatency(), latency.answers());
     }
   }
 
@@ -172,7 +173,7 @@
     if (ready.isEmpty()) {
       return;
     }
-    if (!desk.isPartitioned()) {
+    if (!leaseManager.isPartitioned()) {
       partition(ready, nowMs);
       return;
     }
@@ -181,7 +182,7 @@
     if (nowMs - balancedMs >= BALANCE_INTERVAL_MS) {
       balancedMs = nowMs;
       loads.decay(nowMs);
-      desk.mergeAdjacentRanges(nowMs);
+      leaseManager.mergeAdjacentRanges(nowMs);
       List<TargetLoad> targets = targetLoads(usable, nowMs);
       if (storeAnswers) {
         balance(targets, nowMs);
@@ -208,7 +209,7 @@
   private void partition(List<FleetTarget> ready, long nowMs) {
     boolean settled = nowMs - targetsChangedMs >= SETTLE_MS;
     if (settled || nowMs - startedMs >= MAX_SETTLE_MS) {
-      desk.partition(ready);
+      leaseManager.partition(ready);
       log.write("keys_partitioned", "service={} targets={}", service, ready.size());
     }
   }
@@ -228,7 +229,7 @@
   private void evacuate(List<FleetTarget> ready, long nowMs) {
     Set<TargetId> usable = new HashSet<>();
     ready.forEach(target -> usable.add(target.id()));
-    List<KeyRange> orphaned = desk.rangesWithUnusableOwner(usable::contains);
+    List<KeyRange> orphaned = leaseManager.rangesWithUnusableOwner(usable::contains);
     if (orphaned.isEmpty()) {
       return;
     }
@@ -238,7 +239,7 @@
     for (KeyRange range : orphaned) {
       for (KeyRange part : parts(range, ready.size())) {
         TargetId least = leastLoadedWith(loads.of(part), targets, loadByTarget);
-        desk.move(part, least, nowMs);
+        leaseManager.move(part, least, nowMs);
         loadByTarget.merge(least, loads.of(part), Double::sum);
         log.write("keys_evacuated", "service={} keys={} to={}", service, part, least);
       }
@@ -276,13 +277,13 @@
 
   private void balance(List<TargetLoad> targets, long nowMs) {
     updateBusyTargets(targets);
-    List<RangeMove> moves = planner.plan(targets, loads, speeds);
-    if (moves.isEmpty() && nowMs - tidiedMs >= TIDY_INTERVAL_MS) {
-      tidiedMs = nowMs;
-      moves = tidier.plan(targets, loads, MovePlanner.maxMoves(targets.size()));
+    List<RangeMove> moves = planner.plan(targets, loads, relativeLatencies);
+    if (moves.isEmpty() && nowMs - defragmentedMs >= DEFRAGMENT_INTERVAL_MS) {
+      defragmentedMs = nowMs;
+      moves = defragmenter.plan(targets, loads, MovePlanner.maxMoves(targets.size()));
     }
     for (RangeMove move : moves) {
-      desk.move(move.keys(), move.to(), nowMs);
+      leaseManager.move(move.keys(), move.to(), nowMs);
       log.write(
           "keys_moved",
           "service={} keys={} from={} to={} load={}",
@@ -304,8 +305,8 @@
   }
 
   private List<TargetLoad> targetLoads(List<FleetTarget> ready, long nowMs) {
-    Map<TargetId, List<KeyRange>> settled = desk.rangesByOwner(true, nowMs);
-    Map<TargetId, List<KeyRange>> others = desk.rangesByOwner(false, nowMs);
+    Map<TargetId, List<KeyRange>> settled = leaseManager.rangesByOwner(true, nowMs);
+    Map<TargetId, List<KeyRange>> others = leaseManager.rangesByOwner(false, nowMs);
     List<TargetLoad> result = new ArrayList<>();
     for (FleetTarget target : ready) {
       result.add(
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/TermCoordinator.java
@@ -212,12 +212,12 @@
       if (service != null) {
         service.onKeyLoad(load);
       }
-    } else if (report instanceof TargetLatencyReport times) {
-      times.times().forEach(this::onTargetTime);
+    } else if (report instanceof TargetLatencyReport latencies) {
+      latencies.latencies().forEach(this::onTargetLatency);
     } else if (report instanceof TargetReplaced replaced) {
       onReplacedTarget(replaced.target());
-    } else if (report instanceof TargetBackoffsReport rests) {
-      restingTargets.onReport(rests);
+    } else if (report instanceof TargetBackoffsReport backoffs) {
+      restingTargets.onReport(backoffs);
     }
   }
 
@@ -233,10 +233,12 @@
   }
 
   /** Returns all leases that may still be in force. */
-  List<RemainingLease> leasesLeft() {
+  List<RemainingLease> remainingLeases() {
     List<RemainingLease> result = new ArrayList<>();
     long nowMs = clock.nowMs();
-    planners.values().forEach(service -> result.addAll(service.desk().leasesLeft(nowMs)));
+    planners
+        .values()
+        .forEach(service -> result.addAll(service.leaseManager().remainingLeases(nowMs)));
     return result;
   }
 
@@ -246,23 +248,23 @@
    *
    * @return whether the list comes from the last writer, as far as is known yet
    */
-  boolean onLeasesLeft(RemainingLeases remaining, long receivedMs) {
+  boolean onRemainingLeases(RemainingLeases remaining, long receivedMs) {
     boolean newer = foreignLeases.isEmpty() || remaining.term() > foreignLeases.get().term();
     if (remaining.term() != 0 && remaining.term() < term && newer) {
       foreignLeases = Optional.of(remaining);
       foreignLeasesAtMs = receivedMs;
-      planners.values().forEach(service -> limitForeignLeases(service.desk()));
+      planners.values().forEach(service -> limitForeignLeases(service.leaseManager()));
       runCycle();
     }
     return ready && foreignLeases.isPresent() && foreignLeases.get().term() == storedTerm;
   }
 
-  private void limitForeignLeases(LeaseManager desk) {
+  private void limitForeignLeases(LeaseManager leaseManager) {
     foreignLeases
         .filter(remaining -> remaining.term() == storedTerm && !storedMayBeStale)
         .ifPresent(
             remaining -> {
-              desk.limitForeignLeases(remaining.leases(), foreignLeasesAtMs);
+              leaseManager.limitForeignLeases(remaining.leases(), foreignLeasesAtMs);
               log.write(
                   "foreign_leases_known", "of={} left={}", storedTerm, remaining.leases().size());
             });
@@ -271,17 +273,17 @@
   private void markReplaced(TargetId id) {
     if (ended.add(id)) {
       log.write("target_replaced", "target={}", id);
-      planners.values().forEach(service -> service.desk().onGone(id));
+      planners.values().forEach(service -> service.leaseManager().onGone(id));
       follower.forget(id);
     }
   }
 
-  private void onTargetTime(TargetLatency time) {
+  private void onTargetLatency(TargetLatency latency) {
     follower
         .register()
-        .find(time.target())
+        .find(latency.target())
         .map(target -> planners.get(target.service()))
-        .ifPresent(service -> service.onTargetTime(time));
+        .ifPresent(service -> service.onTargetLatency(latency));
   }
 
   private void onOwnership(Optional<OwnershipRecord> found) {
@@ -346,7 +348,7 @@
 
   private void recordRestart(FleetTarget target) {
     ServicePlanner service = planners.get(target.service());
-    if (service != null && service.desk().onRestarted(target.id())) {
+    if (service != null && service.leaseManager().onRestarted(target.id())) {
       log.write("target_restarted", "target={} service={}", target.id(), target.service());
     }
   }
@@ -413,12 +415,12 @@
     for (ServicePlanner service : planners.values()) {
       service.plan(follower.register(), state.current().processes(), storeAnswers, nowMs);
     }
-    planners.values().forEach(service -> service.desk().setOutage(outage));
+    planners.values().forEach(service -> service.leaseManager().setOutage(outage));
     renewStaleTokens();
     writeIfNeeded(nowMs);
     for (ServicePlanner service : planners.values()) {
-      for (LeaseOrder order : service.desk().due(nowMs, sender::tryReserve)) {
-        sender.send(service.desk(), order);
+      for (LeaseOrder order : service.leaseManager().due(nowMs, sender::tryReserve)) {
+        sender.send(service.leaseManager(), order);
       }
     }
     if (planners.values().stream().anyMatch(ServicePlanner::routesChanged)) {
@@ -452,20 +454,21 @@
   }
 
   private ServicePlanner newPlanner(ServiceId id) {
-    LeaseManager desk = new LeaseManager(id, timings, this::nextToken);
+    LeaseManager leaseManager = new LeaseManager(id, timings, this::nextToken);
     OwnershipTable table = stored.get(id);
     if (table != null && !table.assignments().isEmpty()) {
-      desk.takeOver(table, clock.nowMs(), startedMs + timings.foreignLeaseMs());
+      leaseManager.takeOver(table, clock.nowMs(), startedMs + timings.foreignLeaseMs());
       if (storedMayBeStale) {
         // Later moves may have been lost in the restore, so the recorded owners may be outdated.
-        desk.assumeUnknownOwners(startedMs + timings.foreignLeaseMs());
+        leaseManager.assumeUnknownOwners(startedMs + timings.foreignLeaseMs());
       } else {
-        limitForeignLeases(desk);
+        limitForeignLeases(leaseManager);
       }
-      follower.register().of(id).forEach(target -> desk.onRestarted(target.id()));
-      log.write("keys_taken_over", "service={} ranges={}", id, desk.rangeCount());
+      follower.register().of(id).forEach(target -> leaseManager.onRestarted(target.id()));
+      log.write("keys_taken_over", "service={} ranges={}", id, leaseManager.rangeCount());
     }
-    return new ServicePlanner(id, desk, log, limits, restingTargets::isResting, clock.nowMs());
+    return new ServicePlanner(
+        id, leaseManager, log, limits, restingTargets::isResting, clock.nowMs());
   }
 
   private long nextToken() {
@@ -478,7 +481,7 @@
    * store has to confirm this term first.
    */
   private void renewStaleTokens() {
-    boolean stale = planners.values().stream().anyMatch(s -> s.desk().hasStaleTokens());
+    boolean stale = planners.values().stream().anyMatch(s -> s.leaseManager().hasStaleTokens());
     if (!stale) {
       staleSince = Optional.empty();
       return;
@@ -489,14 +492,15 @@
       termLease.confirm();
     } else if (termLease.confirmed().compareTo(staleSince.get()) >= 0) {
       staleSince = Optional.empty();
-      planners.values().forEach(service -> service.desk().renewTokens());
+      planners.values().forEach(service -> service.leaseManager().renewTokens());
     }
   }
 
   private void writeIfNeeded(long nowMs) {
-    boolean urgent = planners.values().stream().anyMatch(service -> service.desk().needsWrite());
+    boolean urgent =
+        planners.values().stream().anyMatch(service -> service.leaseManager().needsWrite());
     boolean cleanup =
-        planners.values().stream().anyMatch(service -> service.desk().isCleanupPending());
+        planners.values().stream().anyMatch(service -> service.leaseManager().isCleanupPending());
     cleanupSinceMs = cleanup ? Math.min(cleanupSinceMs, nowMs) : Long.MAX_VALUE;
     boolean due = urgent || nowMs - cleanupSinceMs > CLEANUP_DELAY_MS || onRewritten.isPresent();
     if (!due || ownership.isWriting()) {
@@ -507,10 +511,10 @@
     Map<ServiceId, Long> versions = new HashMap<>();
     planners.forEach(
         (id, service) -> {
-          if (service.desk().isPartitioned()) {
-            tables.put(id, service.desk().table(nowMs));
+          if (service.leaseManager().isPartitioned()) {
+            tables.put(id, service.leaseManager().table(nowMs));
           }
-          versions.put(id, service.desk().version());
+          versions.put(id, service.leaseManager().version());
         });
     ownership.write(
         List.copyOf(tables.values()),
@@ -520,7 +524,7 @@
   }
 
   private void onWritten(Map<ServiceId, Long> versions, Optional<Runnable> afterwards) {
-    versions.forEach((id, version) -> planners.get(id).desk().onWritten(version));
+    versions.forEach((id, version) -> planners.get(id).leaseManager().onWritten(version));
     if (afterwards.isPresent()) {
       onRewritten = Optional.empty();
       afterwards.get().run();
@@ -564,7 +568,7 @@
     List<ServiceRanges> services = new ArrayList<>();
     planners.forEach(
         (id, service) -> {
-          if (service.desk().isPartitioned()) {
+          if (service.leaseManager().isPartitioned()) {
             services.add(new ServiceRanges(id, service.routes()));
           }
         });
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ConfigurationWatchTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ConfigurationWatchTest.java
@@ -71,7 +71,7 @@
     store.put(version(2));
     clock.advance(0);
     assertThat(versionInForce()).isEqualTo(3);
-    watch.onNews(new StoreValue(version(5), 1));
+    watch.onUpdate(new StoreValue(version(5), 1));
     assertThat(versionInForce()).isEqualTo(5);
   }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/CrashFleet.java
@@ -179,7 +179,7 @@
       return;
     }
     if (delivery.message instanceof CrashUpdate update) {
-      to.coordinator.onNews(update, answer -> send(to, from.index, answer));
+      to.coordinator.onUpdate(update, answer -> send(to, from.index, answer));
     } else if (delivery.message instanceof TrialRequest request) {
       to.coordinator.onTrialRequest(request.fingerprint(), answer -> send(to, from.index, answer));
     } else if (delivery.message instanceof TrialPermit) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureCoordinatorTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/DepartureCoordinatorTest.java
@@ -165,7 +165,7 @@
               members
                   .get(to)
                   .coordinator
-                  .onNews(
+                  .onUpdate(
                       (DepartureUpdate) message, answer -> members.get(to).tell(index, answer)));
     }
   }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
@@ -45,7 +45,7 @@
     final FollowingGateway.Holder holder =
         new FollowingGateway.Holder(clock, gateway, holderReader, HOLDER, 1);
     startGateway();
-    gateway.receive(HOLDER, gateway.beat(1, 0));
+    gateway.receive(HOLDER, gateway.heartbeat(1, 0));
     clock.advance(5_000);
     assertThat(gateway.traffic.sendsTo(A)).isTrue();
     return holder;
@@ -128,7 +128,7 @@
 
   /**
    * Guards against a timeout for the silence of the holder that grows with the fleet, as the
-   * intervals between beats do.
+   * intervals between heartbeats do.
    */
   @Test
   void departuresTakeEffectInTimeInLargeFleetsIfTheHolderEnds() {
@@ -150,8 +150,8 @@
   }
 
   /**
-   * Guards against an age counted from the processing of a beat rather than from its hello: the
-   * link from the holder is slow.
+   * Guards against an age counted from the processing of a heartbeat rather than from its hello:
+   * the link from the holder is slow.
    */
   @Test
   void departuresTakeEffectInTimeOverSlowLinks() {
@@ -193,7 +193,7 @@
     assertNothingIsSentLate("the holder alone was refused for 1.5 s");
   }
 
-  /** Guards against changes that are lost in transit while beats still arrive. */
+  /** Guards against changes that are lost in transit while heartbeats still arrive. */
   @Test
   void departuresTakeEffectInTimeIfChangesAreLost() {
     FollowingGateway.Holder holder = startHolder();
@@ -203,34 +203,37 @@
     assertNothingIsSentLate("two changes were lost");
   }
 
-  /** Guards against beats that confirm the targets although this gateway has missed a change. */
+  /**
+   * Guards against heartbeats that confirm the targets although this gateway has missed a change.
+   */
   @Test
-  void beatsDoNotConfirmTargetsOfWhichChangesAreMissing() {
+  void heartbeatsDoNotConfirmTargetsOfWhichChangesAreMissing() {
     receiveTargets(new TargetsPush(1, 1, List.of(READY)));
     final long receivedMs = clock.nowMs();
     clock.advance(200);
     TargetsChange third =
         new TargetsChange(1, 2, 3, List.of(target(B, TargetPhase.READY)), List.of());
     gateway.receive(HOLDER, third);
-    gateway.receive(HOLDER, gateway.beat(1, 10, 3, clock.upper().ms()));
+    gateway.receive(HOLDER, gateway.heartbeat(1, 10, 3, clock.upper().ms()));
     long ageMs = clock.upper().sinceMs(gateway.state.targetsConfirmed());
     assertWithMessage("age of the targets").that(ageMs).isAtLeast(clock.nowMs() - receivedMs);
   }
 
   /**
    * Guards against a change that is recorded but not installed when it arrives between the silence
-   * timeout and the next beat.
+   * timeout and the next heartbeat.
    */
   @Test
   void changesThatEndTheSilenceOfTheHolderAreUsed() {
     receiveTargets(new TargetsPush(1, 1, List.of(READY)));
-    // Hellos are 300 ms apart. The last beat arrives 100 ms before one of them, so the fourth hello
+    // Hellos are 300 ms apart. The last heartbeat arrives 100 ms before one of them, so the fourth
+    // hello
     // after it finds a silence of 1,000 ms unless another message arrives first.
     clock.advance(200);
-    gateway.receive(HOLDER, gateway.beat(1, 0));
+    gateway.receive(HOLDER, gateway.heartbeat(1, 0));
     clock.advance(980);
     gateway.receive(HOLDER, new TargetsChange(1, 1, 2, List.of(DRAINING), List.of()));
-    gateway.receive(HOLDER, gateway.beat(1, 0));
+    gateway.receive(HOLDER, gateway.heartbeat(1, 0));
     // The holder sends the targets that the hello shows to be missing.
     gateway.onSent =
         (address, message) -> {
@@ -242,7 +245,7 @@
     for (long ms = 1; ms <= OBSERVED_MS; ms++) {
       clock.advance(1);
       if (ms % 300 == 0) {
-        gateway.receive(HOLDER, gateway.beat(1, 0));
+        gateway.receive(HOLDER, gateway.heartbeat(1, 0));
       }
       last = gateway.traffic.sendsTo(A) ? ms : last;
     }
@@ -343,7 +346,7 @@
       entries.put(READY);
       holder = new FollowingGateway.Holder(time, follower, holdersReader, HOLDER, 1);
       follower.start();
-      follower.receive(HOLDER, follower.beat(1, 0));
+      follower.receive(HOLDER, follower.heartbeat(1, 0));
       time.advance(5_000 + random.nextInt(1_000));
     }
 
@@ -384,7 +387,7 @@
     receiveTargets(new TargetsPush(1, 1, List.of(READY)));
     gateway.receive(HOLDER, new TargetsChange(1, 1, 2, List.of(DRAINING), List.of()));
     assertThat(gateway.traffic.sendsTo(A)).isFalse();
-    gateway.receive(NEXT_HOLDER, gateway.beat(2, 0));
+    gateway.receive(NEXT_HOLDER, gateway.heartbeat(2, 0));
     gateway.receive(NEXT_HOLDER, new TargetsPush(2, 1, List.of(READY)));
     assertThat(gateway.traffic.sendsTo(A)).isFalse();
   }
@@ -429,9 +432,9 @@
     VirtualClock controlClock = new VirtualClock(10_000);
     FollowingGateway busy = new FollowingGateway(clock, controlClock, ownReader, true);
     busy.start();
-    busy.deliver(HOLDER, busy.beat(1, 0));
+    busy.deliver(HOLDER, busy.heartbeat(1, 0));
     busy.deliver(HOLDER, new TargetsPush(1, 1, List.of(READY)));
-    busy.deliver(HOLDER, busy.beat(1, 0));
+    busy.deliver(HOLDER, busy.heartbeat(1, 0));
     controlClock.advance(0);
     clock.advance(0);
     controlClock.advance(0);
@@ -475,16 +478,16 @@
     List<FleetTarget> sentTargets =
         sent.stream()
             .filter(FleetSnapshot.class::isInstance)
-            .flatMap(news -> ((FleetSnapshot) news).targets().targets().stream())
+            .flatMap(snapshot -> ((FleetSnapshot) snapshot).targets().targets().stream())
             .toList();
     assertThat(sentTargets).doesNotContain(READY);
   }
 
   private void receiveTargets(TargetsPush push) {
     startGateway();
-    gateway.receive(HOLDER, gateway.beat(1, 0));
+    gateway.receive(HOLDER, gateway.heartbeat(1, 0));
     gateway.receive(HOLDER, push);
-    gateway.receive(HOLDER, gateway.beat(1, 0));
+    gateway.receive(HOLDER, gateway.heartbeat(1, 0));
     assertThat(gateway.traffic.sendsTo(A)).isTrue();
   }
 }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FollowingGateway.java
@@ -59,7 +59,7 @@
   /** Log lines of this gateway, each with its time. */
   final List<String> lines = new ArrayList<>();
 
-  /** Number of gateways that the holder reports in its beats. */
+  /** Number of gateways that the holder reports in its heartbeats. */
   int processes = 2;
 
   private long newestTerm;
@@ -84,7 +84,7 @@
     GatewayPorts ports =
         new GatewayPorts(
             new CursorStore(clock), "configuration", bytes -> null, registry, null, null);
-    FleetTimings pace = new FleetTimings(state);
+    FleetTimings timings = new FleetTimings(state);
     Network network = new Network();
     this.configuration =
         new ConfigurationWatch(
@@ -93,7 +93,7 @@
             control,
             clock,
             log,
-            PeerReliance.partial(pace::confirmedMs),
+            PeerReliance.partial(timings::confirmedMs),
             value -> {});
     this.link =
         new FleetLink(
@@ -107,7 +107,7 @@
             settings(firstStart),
             configuration,
             traffic.reports(),
-            pace,
+            timings,
             () -> {},
             new Terms(),
             new Deputies(OWN),
@@ -131,12 +131,12 @@
     clock.advance(0);
   }
 
-  /** Returns a beat that confirms whatever targets its sender has sent. */
-  FleetHeartbeat beat(long term, long registryAgeMs) {
-    return beat(term, registryAgeMs, 0, clock.upper().ms());
+  /** Returns a heartbeat that confirms whatever targets its sender has sent. */
+  FleetHeartbeat heartbeat(long term, long registryAgeMs) {
+    return heartbeat(term, registryAgeMs, 0, clock.upper().ms());
   }
 
-  FleetHeartbeat beat(long term, long registryAgeMs, long targetsVersion, long helloSentMs) {
+  FleetHeartbeat heartbeat(long term, long registryAgeMs, long targetsVersion, long helloSentMs) {
     return new FleetHeartbeat(
         term, processes, registryAgeMs, 0, 1, 0, List.of(OWN), targetsVersion, helloSentMs);
   }
@@ -330,15 +330,15 @@
       changesToDrop = count;
     }
 
-    /** Sends a beat at once, as a gateway does that has just taken the term. */
+    /** Sends a heartbeat at once, as a gateway does that has just taken the term. */
     void announceTerm() {
-      sendToFollower(beat(clock.upper().ms()));
+      sendToFollower(heartbeat(clock.upper().ms()));
     }
 
-    private FleetHeartbeat beat(long helloSentMs) {
+    private FleetHeartbeat heartbeat(long helloSentMs) {
       boolean hasPublished = view.targets().term() == term;
       long version = hasPublished ? view.targets().version() : Long.MAX_VALUE;
-      return follower.beat(term, registry.ageMs(), version, helloSentMs);
+      return follower.heartbeat(term, registry.ageMs(), version, helloSentMs);
     }
 
     private void publishTargetsToFollowers() {
@@ -357,7 +357,7 @@
             1,
             () -> {
               subscribers.onHello(channel, hello, term, view, clock.nowMs());
-              sendToFollower(beat(hello.sentMs()));
+              sendToFollower(heartbeat(hello.sentMs()));
             });
       }
     }
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/QuotaFleet.java
@@ -219,7 +219,7 @@
       } else if (message instanceof QuotaReply reply) {
         traffic.quotas().onReply(reply);
       } else if (message instanceof LimitUpdate update) {
-        coordinator.onNews(update, answer -> send(this, sender, answer));
+        coordinator.onUpdate(update, answer -> send(this, sender, answer));
       }
     }
 
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingTargetsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/RestingTargetsTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void targetsRestOnceTheyHaveAskedHalfOfTheGateways() {
+  void targetsBackOffOnceTheyHaveAskedHalfOfTheGateways() {
     report(1, TARGET, 3_000);
     report(1, TARGET, 2_900);
     assertThat(resting.isResting(TARGET)).isFalse();
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void shortRestsAndOtherTargetsDoNotCount() {
+  void shortBackoffsAndOtherTargetsDoNotCount() {
     report(1, TARGET, 400);
     report(2, TARGET, 500);
     report(3, new TargetId("core-1"), 3_000);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServicePlannerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/ServicePlannerTest.java
@@ -39,11 +39,11 @@
   private final Map<TargetId, OptionalDouble> limits = new HashMap<>();
   private final Set<TargetId> resting = new HashSet<>();
   private long tokens;
-  private final LeaseManager desk = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
+  private final LeaseManager leaseManager = new LeaseManager(SERVICE, TIMINGS, () -> ++tokens);
   private final ServicePlanner planner =
       new ServicePlanner(
           SERVICE,
-          desk,
+          leaseManager,
           new DecisionLog(() -> 0, 100, line -> {}),
           id -> limits.getOrDefault(id, OptionalDouble.empty()),
           resting::contains,
@@ -54,9 +54,10 @@
     register.put(target("a", TargetPhase.READY));
     register.put(target("b", TargetPhase.READY));
     planner.plan(register, 3, true, SETTLED_MS);
-    desk.onWritten(desk.version());
-    for (LeaseOrder order : desk.due(SETTLED_MS, target -> true)) {
-      desk.onGrantEnded((LeaseOrder.Grant) order, OrderOutcome.DONE, SETTLED_MS, SETTLED_MS);
+    leaseManager.onWritten(leaseManager.version());
+    for (LeaseOrder order : leaseManager.due(SETTLED_MS, target -> true)) {
+      leaseManager.onGrantEnded(
+          (LeaseOrder.Grant) order, OrderOutcome.DONE, SETTLED_MS, SETTLED_MS);
     }
     planner.plan(register, 3, true, SETTLED_MS);
   }
@@ -72,7 +73,7 @@
   void unevenLoadIsEvenedOut() {
     onWork(WORK_MS);
     planner.plan(register, 3, true, SETTLED_MS + 250);
-    assertThat(desk.needsWrite()).isTrue();
+    assertThat(leaseManager.needsWrite()).isTrue();
   }
 
   /** A move closes its keys until it is written, which may last as long as the store outage. */
@@ -80,8 +81,8 @@
   void unevenLoadIsLeftAloneWhileTheStoreDoesNotAnswer() {
     onWork(WORK_MS);
     planner.plan(register, 3, false, SETTLED_MS + 250);
-    assertThat(desk.needsWrite()).isFalse();
-    assertThat(desk.routes().stream().allMatch(route -> route.open())).isTrue();
+    assertThat(leaseManager.needsWrite()).isFalse();
+    assertThat(leaseManager.routes().stream().allMatch(route -> route.open())).isTrue();
   }
 
   /** The slots of the owner are nearly idle, but it accepts 2 requests a second and is sent 20. */
@@ -89,40 +90,40 @@
   void ownersWithLimitsAreRelieved() {
     onWork(LITTLE_WORK_MS);
     planner.plan(register, 3, true, SETTLED_MS + 250);
-    assertThat(desk.needsWrite()).isFalse();
+    assertThat(leaseManager.needsWrite()).isFalse();
     limits.put(ownerOf(0), OptionalDouble.of(2));
     planner.plan(register, 3, true, SETTLED_MS + 500);
-    assertThat(desk.needsWrite()).isTrue();
+    assertThat(leaseManager.needsWrite()).isTrue();
     assertThat(ownersOfBusyKeys()).hasSize(2);
   }
 
   /** The slots of the owner are nearly idle, since no gateway sends it anything. */
   @Test
-  void ownersThatHaveAskedAllGatewaysForRestAreRelieved() {
+  void ownersThatHaveAskedAllGatewaysForBackoffLoseTheirKeys() {
     onWork(LITTLE_WORK_MS);
     final TargetId owner = ownerOf(0);
     resting.add(owner);
     planner.plan(register, 3, true, SETTLED_MS + 250);
-    assertThat(desk.needsWrite()).isTrue();
+    assertThat(leaseManager.needsWrite()).isTrue();
     assertThat(ownersOfBusyKeys()).doesNotContain(owner);
   }
 
   @Test
-  void ownersThatRestKeepTheirKeysWhileNoMoveCanBeWritten() {
+  void ownersThatBackOffKeepTheirKeysWhileNoMoveCanBeWritten() {
     onWork(LITTLE_WORK_MS);
     resting.add(ownerOf(0));
     planner.plan(register, 3, false, SETTLED_MS + 250);
-    assertThat(desk.needsWrite()).isFalse();
+    assertThat(leaseManager.needsWrite()).isFalse();
   }
 
   /** The service is overloaded then: moves would only shift keys back and forth. */
   @Test
-  void ownersKeepTheirKeysIfMostOfThemRest() {
+  void ownersKeepTheirKeysIfMostOfThemBackOff() {
     onWork(LITTLE_WORK_MS);
     resting.add(new TargetId("a"));
     resting.add(new TargetId("b"));
     planner.plan(register, 3, true, SETTLED_MS + 250);
-    assertThat(desk.needsWrite()).isFalse();
+    assertThat(leaseManager.needsWrite()).isFalse();
   }
 
   @Test
@@ -136,7 +137,7 @@
   }
 
   private TargetId ownerOf(int key) {
-    return desk.routes().stream()
+    return leaseManager.routes().stream()
         .filter(route -> route.firstKey() <= key && key <= route.lastKey())
         .findFirst()
         .orElseThrow()
@@ -151,7 +152,7 @@
   void keysOfTargetsThatLeaveAreMovedInAnyCase() {
     register.put(target("a", TargetPhase.DRAINING));
     planner.plan(register, 3, false, SETTLED_MS + 250);
-    assertThat(desk.needsWrite()).isTrue();
+    assertThat(leaseManager.needsWrite()).isTrue();
   }
 
   private static FleetTarget target(String id, TargetPhase phase) {
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchDelayBoundsTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/WatchDelayBoundsTest.java
@@ -121,8 +121,8 @@
 
   /** The watch and the link to the holder become silent together, just after a confirmation. */
   private long worstDelayMs(int processes, int furtherSilentCalls, boolean reliesEntirely) {
-    FleetTimings pace = new FleetTimings(new RoutingState(processes));
-    PeerReliance reliance = new PeerReliance(pace::confirmedMs, () -> reliesEntirely);
+    FleetTimings timings = new FleetTimings(new RoutingState(processes));
+    PeerReliance reliance = new PeerReliance(timings::confirmedMs, () -> reliesEntirely);
     long worst = 0;
     for (int phase = 0; phase < 150; phase += 10) {
       CursorStore ofFollower = new CursorStore(clock);
@@ -322,14 +322,14 @@
           public CompletableFuture<RegistryChanges> changes(long afterRevision, long waitMs) {
             CompletableFuture<RegistryChanges> answer = new CompletableFuture<>();
             int call = calls.incrementAndGet();
-            RegistryChanges news =
+            RegistryChanges changes =
                 new RegistryChanges(
                     RegistryChanges.Status.ANSWERED,
                     List.of(target("target-" + call)),
                     List.of(),
                     List.of(),
                     call + 1);
-            clock.schedule(waitMs + 1_000, () -> answer.complete(news));
+            clock.schedule(waitMs + 1_000, () -> answer.complete(changes));
             return answer;
           }
         };
