--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentCoordinator.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/intent/IntentCoordinator.java
@@ -299,7 +299,7 @@
       return;
     }
     switch (reply.answer()) {
-      case GRANTED -> onGranted(claim, reply.keeper());
+      case GRANTED -> onGranted(claim, reply.replica());
       case RAN -> refuse(claim, Verdict.RAN, RefusalReason.ALREADY_RAN, 0, nowMs);
       case MAY_HAVE_RUN ->
           refuse(claim, Verdict.MAY_HAVE_RUN, RefusalReason.EARLIER_MAY_HAVE_RUN, 0, nowMs);
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentClaimReply.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentClaimReply.java
@@ -7,10 +7,10 @@
 import io.cuminvalve.core.intent.OperationId;
 
 /**
- * Reply of a keeper to an {@link IntentClaimRequest}.
+ * Reply of a replica to an {@link IntentClaimRequest}.
  *
  * @param cell the cell; not null
- * @param keeper the sender; not null
+ * @param replica the sender; not null
  * @param operation the operation; not null
  * @param request the request that claims the operation; not null
  * @param answer the result of the claim; not null
@@ -20,7 +20,7 @@
  */
 public record IntentClaimReply(
     CellId cell,
-    RouterId keeper,
+    RouterId replica,
     OperationId operation,
     RequestId request,
     IntentAnswer answer,
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentClaimRequest.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentClaimRequest.java
@@ -8,7 +8,7 @@
 import io.cuminvalve.core.table.TableVersion;
 
 /**
- * Asks a keeper to record that the sender is about to send an operation.
+ * Asks a replica to record that the sender is about to send an operation.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
@@ -18,7 +18,7 @@
  * @param request the request that claims the operation; not null
  * @param remainingMs milliseconds until the deadline of the request
  * @param routersDigest digest of the routers registered at the sender, used to verify that both
- *     sides select the same keepers
+ *     sides select the same replicas
  * @since 0.1
  */
 public record IntentClaimRequest(
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentPullReply.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentPullReply.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * Returns the entries for which the requester is a keeper according to the sender's registered
+ * Returns the entries for which the requester is a replica according to the sender's registered
  * routers.
  *
  * @param cell the cell; not null
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentSettled.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/protocol/IntentSettled.java
@@ -7,7 +7,7 @@
 import io.cuminvalve.core.verdict.Verdict;
 
 /**
- * Reports the result of a claimed operation to a keeper.
+ * Reports the result of a claimed operation to a replica.
  *
  * @param cell the cell; not null
  * @param router the sender; not null
--- a/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/SharedRetryBudget.java
+++ b/cuminvalve-core/src/main/java/io/cuminvalve/core/retry/SharedRetryBudget.java
@@ -57,7 +57,7 @@
    * @param nowMs the current time in milliseconds
    * @return false if the request must not be retried
    */
-  public boolean tryRepeat(int processes, long nowMs) {
+  public boolean tryRetry(int processes, long nowMs) {
     advance(nowMs);
     int spent = 0;
     int received = 0;
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseSimulation.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/LeaseSimulation.java
@@ -282,7 +282,7 @@
     SimulatedTermHolder next = addHolder();
     next.blockPathToAnyTarget(clockFaults ? MAX_LONG_PARTITION_MS : MAX_PARTITION_MS);
     if (time.oneIn(3)) {
-      time.schedule(time.nextMs(0, 3_000), () -> next.askPredecessor(last));
+      time.schedule(time.nextMs(0, 3_000), () -> next.requestLeasesOfPredecessor(last));
     }
   }
 }
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
@@ -124,7 +124,7 @@
   }
 
   /** Stops the predecessor, which reports the leases that may still be in force. */
-  void askPredecessor(SimulatedTermHolder predecessor) {
+  void requestLeasesOfPredecessor(SimulatedTermHolder predecessor) {
     predecessor.stopped = true;
     if (predecessor.term == predecessorTerm && !storedMayBeOld) {
       managers.forEach(
--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/SharedRetryBudgetTest.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/retry/SharedRetryBudgetTest.java
@@ -33,7 +33,7 @@
 
   private static int retriesAllowed(SharedRetryBudget budget, int processes, long nowMs) {
     int allowed = 0;
-    while (budget.tryRepeat(processes, nowMs)) {
+    while (budget.tryRetry(processes, nowMs)) {
       allowed++;
     }
     return allowed;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/Gateway.java
@@ -70,9 +70,9 @@
   public Gateway(
       GatewaySettings settings, SharedKey sharedKey, Function<StoreCallGuard, GatewayPorts> ports) {
     this.settings = settings;
-    StoreCircuitBreaker guard =
+    StoreCircuitBreaker circuitBreaker =
         new StoreCircuitBreaker(clock, storeCalls, new SplittableRandom(), this::maxStoreBackoffMs);
-    GatewayPorts guarded = ports.apply(guard);
+    GatewayPorts guarded = ports.apply(circuitBreaker);
     this.server =
         new GatewayServer(
             settings,
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/CrashCoordinator.java
@@ -153,7 +153,7 @@
     if (peers.isHolder()) {
       onTrialRequest(fingerprint, permit -> quarantine.permitTrial(fingerprint));
     } else {
-      exchange.tellHolder(new TrialRequest(fingerprint));
+      exchange.sendToHolder(new TrialRequest(fingerprint));
     }
   }
 
@@ -216,7 +216,7 @@
     Set<RequestFingerprint> own = new LinkedHashSet<>(ownChanges);
     own.addAll(clearAnswered());
     rememberLocal(own);
-    tellHolderAndDeputies(own);
+    sendToHolderAndDeputies(own);
     if (peers.isHolder()) {
       Set<RequestFingerprint> broadcast = new LinkedHashSet<>(own);
       broadcast.addAll(learned);
@@ -241,9 +241,9 @@
     persistQuarantined();
   }
 
-  private void tellHolderAndDeputies(Set<RequestFingerprint> changed) {
+  private void sendToHolderAndDeputies(Set<RequestFingerprint> changed) {
     if (!changed.isEmpty()) {
-      exchange.tellHolderAndDeputies(
+      exchange.sendToHolderAndDeputies(
           new CrashUpdate(false, crashTracker.reports(changed, clock.nowMs())));
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/DepartureCoordinator.java
@@ -54,7 +54,7 @@
     if (tracker.add(target, clock.nowMs())) {
       log.write("target_leaving", "target={} source=answer", target);
       applyChanges(List.of(target));
-      exchange.tellHolderAndDeputies(updateOf(List.of(target)));
+      exchange.sendToHolderAndDeputies(updateOf(List.of(target)));
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/FleetLink.java
@@ -410,7 +410,7 @@
   }
 
   private void reportTargetLatencies() {
-    report(reports.takeTargetTimes());
+    report(reports.takeTargetLatencies());
     reportBackoffs(reports.backoffsMs());
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderSender.java
@@ -120,9 +120,9 @@
    * sent.
    */
   private boolean maySend(LeaseOrder order, UpperTime decided) {
-    ConditionLookup facts = new OrderFacts(state, () -> !closed, order.target(), decided);
+    ConditionLookup conditions = new OrderFacts(state, () -> !closed, order.target(), decided);
     SendKind kind = order instanceof LeaseOrder.Grant ? SendKind.GRANT : SendKind.RELEASE;
-    Optional<SendObstacle> obstacle = gate.check(kind, facts);
+    Optional<SendObstacle> obstacle = gate.check(kind, conditions);
     obstacle.ifPresent(
         found -> log.write("order_withheld", "target={} why={}", order.target(), found.label()));
     return obstacle.isEmpty();
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
@@ -80,7 +80,7 @@
   /** Processes limits that this gateway saw begin, change or end. */
   void onSeen(List<TargetId> targets) {
     applyLimits(targets);
-    exchange.tellHolderAndDeputies(new LimitUpdate(false, quotas.reports(targets)));
+    exchange.sendToHolderAndDeputies(new LimitUpdate(false, quotas.reports(targets)));
   }
 
   /** Processes limits sent by another process. */
@@ -139,7 +139,7 @@
     if (issuer.isPresent()) {
       onRequest(process, request, this::onOwnReply);
     } else {
-      exchange.tellHolder(request);
+      exchange.sendToHolder(request);
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/RestingTargets.java
@@ -9,16 +9,17 @@
 import java.util.function.IntSupplier;
 
 /**
- * Keeps track, in the term holder, of targets that have asked gateways for a rest: a back-off
- * period without requests. For use on the control thread.
+ * Keeps track, in the term holder, of targets that have asked gateways to back off, that is, to
+ * send them no requests for some time. For use on the control thread.
  */
 final class RestingTargets {
 
-  /** Shorter rests are ignored: they cost clients less than moving the keys. */
-  private static final long MIN_REST_MS = 500;
+  /** Shorter back-offs are ignored: they cost clients less than moving the keys. */
+  private static final long MIN_BACKOFF_MS = 500;
 
   /**
-   * Number of gateways from which on a target counts as resting; it will turn the others away too.
+   * Number of gateways from which on the back-off of a target counts; it will turn the others away
+   * too.
    */
   private static final int RESTING_QUORUM = 3;
 
@@ -35,7 +36,7 @@
   void onReport(TargetBackoffsReport report) {
     removeExpired();
     for (TargetBackoff backoff : report.backoffs()) {
-      if (backoff.leftMs() > MIN_REST_MS) {
+      if (backoff.leftMs() > MIN_BACKOFF_MS) {
         endsMs
             .computeIfAbsent(backoff.target(), id -> new HashMap<>())
             .put(report.process(), clock.nowMs() + backoff.leftMs());
@@ -45,7 +46,7 @@
 
   /**
    * Returns whether a target has asked at least half of the gateways, or {@link #RESTING_QUORUM} of
-   * them, for a rest.
+   * them, to back off.
    */
   boolean isResting(TargetId target) {
     Map<String, Long> ends = endsMs.get(target);
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/ServicePlanner.java
@@ -34,7 +34,7 @@
 /**
  * Plans which target owns which keys of one service.
  *
- * <p>Keys of targets that leave, or that have asked for a rest (back-off), are redistributed at
+ * <p>Keys of targets that leave, or that have asked gateways to back off, are redistributed at
  * once. Other load is rebalanced at intervals. All methods run on the control thread.
  */
 final class ServicePlanner {
@@ -215,9 +215,9 @@
   }
 
   /**
-   * Removes resting targets: requests for their keys are refused until the keys move. If more than
-   * half of the targets rest, the whole service is overloaded and moving keys would not help, so
-   * all targets are kept.
+   * Removes targets that requested a back-off: requests for their keys are refused until the keys
+   * move. If more than half of the targets did so, the whole service is overloaded and moving keys
+   * would not help, so all targets are kept.
    */
   private List<FleetTarget> withoutResting(List<FleetTarget> ready) {
     List<FleetTarget> reachable =
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StateExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StateExchange.java
@@ -62,12 +62,12 @@
   }
 
   /** Sends an update to the holder, unless it is this gateway, and to its deputies. */
-  void tellHolderAndDeputies(N update) {
+  void sendToHolderAndDeputies(N update) {
     holderAndDeputies.forEach(address -> peers.tell(address, update));
   }
 
   /** Sends a message to the holder, unless it is this gateway. */
-  void tellHolder(FleetMessage message) {
+  void sendToHolder(FleetMessage message) {
     holder.ifPresent(address -> peers.tell(address, message));
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCircuitBreaker.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/StoreCircuitBreaker.java
@@ -66,16 +66,17 @@
   }
 
   @Override
-  public void onEnded(StoreCall call, long number, StoreCallOutcome end) {
-    metrics.onEnded(call, end);
+  public void onEnded(StoreCall call, long number, StoreCallOutcome outcome) {
+    metrics.onEnded(call, outcome);
     if (isExempt(call)) {
       return;
     }
-    switch (end) {
+    switch (outcome) {
       case ANSWERED -> breaker.onAnswered(number);
       case REFUSED -> breaker.onRefused(number, clock.nowMs());
       case BROKEN, SILENT -> breaker.onFailed(number, clock.nowMs());
-      default -> throw new IllegalArgumentException("outcome of a call that was not made: " + end);
+      default ->
+          throw new IllegalArgumentException("outcome of a call that was not made: " + outcome);
     }
   }
 
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/MetricsPage.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/MetricsPage.java
@@ -122,11 +122,11 @@
             .name("cuminvalve_store_calls")
             .help("Calls of the store, by kind and end; those held back were not made.");
     for (StoreCall call : StoreCall.values()) {
-      for (StoreCallOutcome end : StoreCallOutcome.values()) {
+      for (StoreCallOutcome outcome : StoreCallOutcome.values()) {
         counter.dataPoint(
             CounterSnapshot.CounterDataPointSnapshot.builder()
-                .labels(Labels.of("call", call.label(), "end", end.label()))
-                .value(storeCalls.count(call, end))
+                .labels(Labels.of("call", call.label(), "end", outcome.label()))
+                .value(storeCalls.count(call, outcome))
                 .build());
       }
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/StoreCallMetrics.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/observe/StoreCallMetrics.java
@@ -20,8 +20,8 @@
   public StoreCallMetrics() {
     for (StoreCall call : StoreCall.values()) {
       Map<StoreCallOutcome, LongAdder> ends = new EnumMap<>(StoreCallOutcome.class);
-      for (StoreCallOutcome end : StoreCallOutcome.values()) {
-        ends.put(end, new LongAdder());
+      for (StoreCallOutcome outcome : StoreCallOutcome.values()) {
+        ends.put(outcome, new LongAdder());
       }
       counts.put(call, ends);
     }
@@ -31,21 +31,21 @@
    * Counts a call that has ended or was held back.
    *
    * @param call the kind of call; not null
-   * @param end the outcome; not null
+   * @param outcome the outcome; not null
    */
-  public void onEnded(StoreCall call, StoreCallOutcome end) {
-    counts.get(call).get(end).increment();
+  public void onEnded(StoreCall call, StoreCallOutcome outcome) {
+    counts.get(call).get(outcome).increment();
   }
 
   /**
    * Returns the number of calls of a kind with an outcome.
    *
    * @param call the kind of call; not null
-   * @param end the outcome; not null
+   * @param outcome the outcome; not null
    * @return at least 0
    */
-  public long count(StoreCall call, StoreCallOutcome end) {
-    return counts.get(call).get(end).sum();
+  public long count(StoreCall call, StoreCallOutcome outcome) {
+    return counts.get(call).get(outcome).sum();
   }
 
   /**
@@ -56,8 +56,8 @@
   public long made() {
     long sum = 0;
     for (StoreCall call : StoreCall.values()) {
-      for (StoreCallOutcome end : StoreCallOutcome.values()) {
-        sum += end == StoreCallOutcome.HELD_BACK ? 0 : count(call, end);
+      for (StoreCallOutcome outcome : StoreCallOutcome.values()) {
+        sum += outcome == StoreCallOutcome.HELD_BACK ? 0 : count(call, outcome);
       }
     }
     return sum;
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/Dispatcher.java
@@ -453,10 +453,10 @@
   }
 
   /** Returns the relative response times of targets measured since the last call. */
-  synchronized TargetLatencyReport takeTimes() {
-    List<TargetLatency> times = new ArrayList<>();
-    slotsByTarget.forEach((id, slots) -> slots.takeTime(id).ifPresent(times::add));
-    return new TargetLatencyReport(times);
+  synchronized TargetLatencyReport takeLatencies() {
+    List<TargetLatency> latencies = new ArrayList<>();
+    slotsByTarget.forEach((id, slots) -> slots.takeLatency(id).ifPresent(latencies::add));
+    return new TargetLatencyReport(latencies);
   }
 
   /** Returns the number of queued requests. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/GatewayExchange.java
@@ -196,8 +196,8 @@
   }
 
   private void execute(ExchangeEffect effect) {
-    if (effect instanceof ExchangeEffect.AcquireSlot seek) {
-      slotWaitTimer = services.timers().schedule(this::onSlotWaitTimeout, seek.patienceMs());
+    if (effect instanceof ExchangeEffect.AcquireSlot acquire) {
+      slotWaitTimer = services.timers().schedule(this::onSlotWaitTimeout, acquire.patienceMs());
       services.dispatcher().submit(slotRequest);
     } else if (effect instanceof ExchangeEffect.CancelSlotRequest) {
       services.dispatcher().withdraw(slotRequest);
@@ -311,7 +311,7 @@
 
   private boolean tryTakeRetryBudget() {
     int processes = services.state().current().processes();
-    return services.budgets().tryRepeat(call.service(), processes);
+    return services.budgets().tryRetry(call.service(), processes);
   }
 
   private void onOwnerPauseElapsed() {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RetryBudgets.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RetryBudgets.java
@@ -26,8 +26,8 @@
     budgetOf(service).onRequest(clock.nowMs());
   }
 
-  synchronized boolean tryRepeat(ServiceId service, int processes) {
-    return budgetOf(service).tryRepeat(processes, clock.nowMs());
+  synchronized boolean tryRetry(ServiceId service, int processes) {
+    return budgetOf(service).tryRetry(processes, clock.nowMs());
   }
 
   private SharedRetryBudget budgetOf(ServiceId service) {
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetAttempt.java
@@ -132,8 +132,9 @@
   @Override
   public boolean onConnection(HttpFields.Mutable headers) {
     sentMs = services.clock().nowMs();
-    ConditionLookup facts = new RequestFacts(services, call, slot, runsBefore, () -> !ended.get());
-    obstacle = services.gate().check(SendKind.REQUEST, facts);
+    ConditionLookup conditions =
+        new RequestFacts(services, call, slot, runsBefore, () -> !ended.get());
+    obstacle = services.gate().check(SendKind.REQUEST, conditions);
     if (obstacle.isPresent()) {
       return false;
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetQuotas.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetQuotas.java
@@ -43,7 +43,7 @@
   private final DecisionLog log;
   private final Timers timers;
   private final RandomGenerator random;
-  private final TargetLimitTracker ledger = new TargetLimitTracker();
+  private final TargetLimitTracker limitTracker = new TargetLimitTracker();
   private final Map<TargetId, Quota> quotas = new HashMap<>();
   private int gateways = ASSUMED_GATEWAYS;
   private volatile boolean anyLimit;
@@ -97,8 +97,8 @@
       long nowMs = clock.nowMs();
       changes =
           perS.isPresent()
-              ? ledger.onNamed(target, perS.getAsDouble(), nowMs)
-              : ledger.onNotNamed(target, sentMs, nowMs);
+              ? limitTracker.onNamed(target, perS.getAsDouble(), nowMs)
+              : limitTracker.onNotNamed(target, sentMs, nowMs);
     }
     if (changes) {
       applyChanges(List.of(target), "answer");
@@ -116,7 +116,7 @@
     List<TargetId> changes = new ArrayList<>();
     synchronized (this) {
       for (LimitReport report : reports) {
-        if (ledger.merge(report, clock.nowMs())) {
+        if (limitTracker.merge(report, clock.nowMs())) {
           changes.add(report.target());
         }
       }
@@ -129,7 +129,7 @@
     List<ServiceId> usable = new ArrayList<>();
     synchronized (this) {
       for (TargetId target : changed) {
-        OptionalDouble perS = ledger.limitOf(target);
+        OptionalDouble perS = limitTracker.limitOf(target);
         Quota quota = quotas.get(target);
         if (perS.isPresent()) {
           log.write(
@@ -143,12 +143,12 @@
           quotas.remove(target);
         }
         if (quota != null && perS.isPresent()) {
-          quota.share.setLimit(perS.getAsDouble());
+          quota.localQuota.setLimit(perS.getAsDouble());
         } else if (quota != null) {
           usable.add(quota.service);
         }
       }
-      anyLimit = !ledger.limits().isEmpty();
+      anyLimit = !limitTracker.limits().isEmpty();
     }
     usable.forEach(onUsable);
   }
@@ -160,7 +160,7 @@
    * @return requests per second from all gateways together; empty if it has none
    */
   public synchronized OptionalDouble limitOf(TargetId target) {
-    return ledger.limitOf(target);
+    return limitTracker.limitOf(target);
   }
 
   /**
@@ -169,7 +169,7 @@
    * @return requests per second by target; never null
    */
   public synchronized Map<TargetId, Double> limits() {
-    return ledger.limits();
+    return limitTracker.limits();
   }
 
   /**
@@ -178,7 +178,7 @@
    * @return never null
    */
   public synchronized List<LimitReport> reports() {
-    return ledger.reports(ledger.targets(), clock.nowMs());
+    return limitTracker.reports(limitTracker.targets(), clock.nowMs());
   }
 
   /**
@@ -188,7 +188,7 @@
    * @return never null
    */
   public synchronized List<LimitReport> reports(Collection<TargetId> targets) {
-    return ledger.reports(targets, clock.nowMs());
+    return limitTracker.reports(targets, clock.nowMs());
   }
 
   /**
@@ -197,7 +197,7 @@
    * @return 0 if there is none
    */
   public synchronized long digest() {
-    return ledger.digest();
+    return limitTracker.digest();
   }
 
   /**
@@ -210,9 +210,9 @@
       return;
     }
     synchronized (this) {
-      ledger.forget(registered, clock.nowMs());
-      quotas.keySet().removeIf(target -> ledger.limitOf(target).isEmpty());
-      anyLimit = !ledger.limits().isEmpty();
+      limitTracker.forget(registered, clock.nowMs());
+      quotas.keySet().removeIf(target -> limitTracker.limitOf(target).isEmpty());
+      anyLimit = !limitTracker.limits().isEmpty();
     }
   }
 
@@ -232,12 +232,12 @@
     }
     Optional<QuotaRequest> quotaRequest;
     synchronized (this) {
-      OptionalDouble perS = ledger.limitOf(target.id());
+      OptionalDouble perS = limitTracker.limitOf(target.id());
       if (perS.isEmpty()) {
         return true;
       }
       Quota quota = quotaOf(target, perS.getAsDouble());
-      LocalQuota.Decision decision = quota.share.take(priority, gateways, clock.nowMs());
+      LocalQuota.Decision decision = quota.localQuota.take(priority, gateways, clock.nowMs());
       if (decision == LocalQuota.Decision.TAKEN) {
         quota.onSent(clock.nowMs());
         return true;
@@ -258,8 +258,8 @@
   }
 
   private QuotaRequest newQuotaRequest(FleetTarget target, int priority, Quota quota) {
-    LimitReport limit = ledger.reports(List.of(target.id()), clock.nowMs()).get(0);
-    return new QuotaRequest(limit, priority, 1, quota.share.expectedRequests());
+    LimitReport limit = limitTracker.reports(List.of(target.id()), clock.nowMs()).get(0);
+    return new QuotaRequest(limit, priority, 1, quota.localQuota.expectedRequests());
   }
 
   /** Requests quota, and serves the waiting requests again even if no reply comes. */
@@ -278,7 +278,7 @@
     synchronized (this) {
       quota = quotas.get(reply.target());
       if (quota != null) {
-        quota.share.onGrant(reply.priority(), reply.grant(), clock.nowMs());
+        quota.localQuota.onGrant(reply.priority(), reply.grant(), clock.nowMs());
       }
     }
     if (quota != null) {
@@ -298,15 +298,16 @@
       Quota quota = quotas.get(target);
       return quota == null
           ? OptionalLong.empty()
-          : quota.share.refusedForMs(priority, clock.nowMs());
+          : quota.localQuota.refusedForMs(priority, clock.nowMs());
     }
   }
 
   /** Refuses a request because of a target's limit, with a time at which to retry. */
   synchronized TargetRefusal refuse(TargetId target, int priority) {
     Quota quota = quotas.get(target);
-    long retryAfterMs = quota == null ? 1 : quota.share.nextRetryAfterMs(priority, clock.nowMs());
-    return TargetRefusal.forLimit(target, ledger.limitOf(target).orElse(0), retryAfterMs);
+    long retryAfterMs =
+        quota == null ? 1 : quota.localQuota.nextRetryAfterMs(priority, clock.nowMs());
+    return TargetRefusal.forLimit(target, limitTracker.limitOf(target).orElse(0), retryAfterMs);
   }
 
   /** Returns whether a target has a limit. */
@@ -316,7 +317,7 @@
 
   /** Returns the number of targets with a limit. */
   synchronized int size() {
-    return ledger.limits().size();
+    return limitTracker.limits().size();
   }
 
   /** This gateway's share of one limit and its use. */
@@ -324,14 +325,14 @@
 
     private final TargetId target;
     private final ServiceId service;
-    private final LocalQuota share;
+    private final LocalQuota localQuota;
     private long sinceMs;
     private int sent;
 
-    Quota(TargetId target, ServiceId service, LocalQuota share, long nowMs) {
+    Quota(TargetId target, ServiceId service, LocalQuota localQuota, long nowMs) {
       this.target = target;
       this.service = service;
-      this.share = share;
+      this.localQuota = localQuota;
       this.sinceMs = nowMs;
     }
 
@@ -344,10 +345,10 @@
           "target_limit_used",
           "target={} limit_per_s={} sent={} in_ms={} alone={}",
           target,
-          ledger.limitOf(target).orElse(0),
+          limitTracker.limitOf(target).orElse(0),
           sent,
           nowMs - sinceMs,
-          share.isIssuerUnreachable());
+          localQuota.isIssuerUnreachable());
       sent = 0;
       sinceMs = nowMs;
     }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TargetSlots.java
@@ -106,15 +106,15 @@
   }
 
   /** Returns the mean relative response time since the last call; empty without responses. */
-  Optional<TargetLatency> takeTime(TargetId id) {
+  Optional<TargetLatency> takeLatency(TargetId id) {
     if (unreportedResponses == 0) {
       return Optional.empty();
     }
-    TargetLatency time =
+    TargetLatency latency =
         new TargetLatency(id, unreportedTime / unreportedResponses, unreportedResponses);
     unreportedTime = 0;
     unreportedResponses = 0;
-    return Optional.of(time);
+    return Optional.of(latency);
   }
 
   /** Records an attempt without a response, resets the limit and pauses the target. */
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/TrafficReports.java
@@ -108,8 +108,8 @@
    *
    * @return never null
    */
-  public FleetMessage takeTargetTimes() {
-    return dispatcher.takeTimes();
+  public FleetMessage takeTargetLatencies() {
+    return dispatcher.takeLatencies();
   }
 
   /**
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/FleetLinkTest.java
@@ -227,8 +227,7 @@
   void changesThatEndTheSilenceOfTheHolderAreUsed() {
     receiveTargets(new TargetsPush(1, 1, List.of(READY)));
     // Hellos are 300 ms apart. The last heartbeat arrives 100 ms before one of them, so the fourth
-    // hello
-    // after it finds a silence of 1,000 ms unless another message arrives first.
+    // hello after it finds a silence of 1,000 ms unless another message arrives first.
     clock.advance(200);
     gateway.receive(HOLDER, gateway.heartbeat(1, 0));
     clock.advance(980);
@@ -466,7 +465,7 @@
 
   /** Guards against sending a starting gateway older targets than the sender itself uses. */
   @Test
-  void gatewaysThatStartAreNotToldOlderTargetsThanTheTellerUses() {
+  void startingGatewaysAreNotSentOlderTargetsThanTheSenderUses() {
     registry.put(READY);
     receiveTargets(new TargetsPush(1, 1, List.of(READY)));
     registry.put(DRAINING);
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/GuardedStore.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/GuardedStore.java
@@ -43,8 +43,8 @@
     clock.schedule(
         answerMs + (refused ? 0 : waitMs),
         () -> {
-          StoreCallOutcome end = refused ? StoreCallOutcome.REFUSED : StoreCallOutcome.ANSWERED;
-          guard.onEnded(call, number.getAsLong(), end);
+          StoreCallOutcome outcome = refused ? StoreCallOutcome.REFUSED : StoreCallOutcome.ANSWERED;
+          guard.onEnded(call, number.getAsLong(), outcome);
           answer.complete(!refused);
         });
     return answer;
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCircuitBreakerTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/control/StoreCircuitBreakerTest.java
@@ -85,25 +85,27 @@
 
   @Test
   void leaseRenewalIsNeverRejected() {
-    StoreCircuitBreaker guard = newBreaker();
-    guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallOutcome.REFUSED);
-    assertThat(guard.begin(StoreCall.WATCH)).isEmpty();
-    assertThat(guard.begin(StoreCall.LEASE_KEEP)).isPresent();
-    assertThat(guard.begin(StoreCall.LEASE_END)).isPresent();
+    StoreCircuitBreaker circuitBreaker = newBreaker();
+    circuitBreaker.onEnded(
+        StoreCall.WATCH, beginOrFail(circuitBreaker, StoreCall.WATCH), StoreCallOutcome.REFUSED);
+    assertThat(circuitBreaker.begin(StoreCall.WATCH)).isEmpty();
+    assertThat(circuitBreaker.begin(StoreCall.LEASE_KEEP)).isPresent();
+    assertThat(circuitBreaker.begin(StoreCall.LEASE_END)).isPresent();
     assertThat(metrics.count(StoreCall.WATCH, StoreCallOutcome.HELD_BACK)).isEqualTo(1);
   }
 
   @Test
   void responseToLeaseRenewalDoesNotCloseTheBreaker() {
-    StoreCircuitBreaker guard = newBreaker();
-    guard.onEnded(StoreCall.WATCH, beginOrFail(guard, StoreCall.WATCH), StoreCallOutcome.REFUSED);
-    long kept = beginOrFail(guard, StoreCall.LEASE_KEEP);
-    guard.onEnded(StoreCall.LEASE_KEEP, kept, StoreCallOutcome.ANSWERED);
-    assertThat(guard.begin(StoreCall.WATCH)).isEmpty();
+    StoreCircuitBreaker circuitBreaker = newBreaker();
+    circuitBreaker.onEnded(
+        StoreCall.WATCH, beginOrFail(circuitBreaker, StoreCall.WATCH), StoreCallOutcome.REFUSED);
+    long kept = beginOrFail(circuitBreaker, StoreCall.LEASE_KEEP);
+    circuitBreaker.onEnded(StoreCall.LEASE_KEEP, kept, StoreCallOutcome.ANSWERED);
+    assertThat(circuitBreaker.begin(StoreCall.WATCH)).isEmpty();
   }
 
-  private static long beginOrFail(StoreCircuitBreaker guard, StoreCall call) {
-    OptionalLong number = guard.begin(call);
+  private static long beginOrFail(StoreCircuitBreaker circuitBreaker, StoreCall call) {
+    OptionalLong number = circuitBreaker.begin(call);
     assertThat(number).isPresent();
     return number.getAsLong();
   }
@@ -138,8 +140,8 @@
     }
 
     @Override
-    public void onEnded(StoreCall call, long number, StoreCallOutcome end) {
-      metrics.onEnded(call, end);
+    public void onEnded(StoreCall call, long number, StoreCallOutcome outcome) {
+      metrics.onEnded(call, outcome);
     }
   }
 
