--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/OrderFacts.java
@@ -21,7 +21,7 @@
   private final UpperTime decided;
 
   /**
-   * Creates the facts of one order.
+   * Creates the conditions of one order.
    *
    * @param state state of the term holder; not null
    * @param holdsTerm whether this process still holds the term; not null
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestFacts.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/traffic/RequestFacts.java
@@ -36,7 +36,7 @@
   private final BooleanSupplier open;
 
   /**
-   * Creates the facts of one attempt.
+   * Creates the conditions of one attempt.
    *
    * @param services the services that hold the state; not null
    * @param call the request; not null
--- a/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetAttemptTest.java
+++ b/cuminvalve-gateway/src/test/java/io/cuminvalve/gateway/traffic/TargetAttemptTest.java
@@ -18,12 +18,12 @@
 
   private final VirtualClock clock = new VirtualClock(10_000);
   private final RoutingState state = new RoutingState(1);
-  private final TrafficFixture gateway = new TrafficFixture(state, clock);
+  private final TrafficFixture traffic = new TrafficFixture(state, clock);
 
   private TrafficFixture.Placed placed() {
     state.update(snapshot -> snapshot.withTargets(List.of(target(TargetPhase.READY))));
     state.confirmTargets(clock.upper());
-    return gateway.place().orElseThrow();
+    return traffic.place().orElseThrow();
   }
 
   @Test
@@ -64,7 +64,7 @@
   @Test
   void requestsThatWaitForConnectionsDoNotBeginAtTargetsThatWereReplaced() {
     TrafficFixture.Placed waiting = placed();
-    gateway.onReplaced(A);
+    traffic.onReplaced(A);
     clock.advance(CONNECT_MS);
     assertThat(waiting.begins()).isFalse();
   }
@@ -76,7 +76,7 @@
   @Test
   void repeatsThatBecameSuspectMeanwhileDoNotBegin() {
     TrafficFixture.Placed waiting = placed();
-    gateway.suspectRequests();
+    traffic.suspectRequests();
     clock.advance(CONNECT_MS);
     assertThat(waiting.beginsAfter(1)).isFalse();
     assertThat(waiting.beginsAfter(0)).isTrue();
