--- a/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
+++ b/cuminvalve-core/src/test/java/io/cuminvalve/core/lease/SimulatedTermHolder.java
@@ -124,13 +124,13 @@
   }
 
   /** Stops the predecessor, which reports the leases that may still be in force. */
-  void askPredecessor(SimulatedTermHolder predecessor) {
+  void requestLeasesOfPredecessor(SimulatedTermHolder predecessor) {
     predecessor.stopped = true;
     if (predecessor.term == predecessorTerm && !storedMayBeOld) {
       managers.forEach(
           (service, manager) ->
               manager.limitForeignLeases(
-                  predecessor.managers.get(service).leasesLeft(predecessor.clock.nowMs()),
+                  predecessor.managers.get(service).remainingLeases(predecessor.clock.nowMs()),
                   clock.nowMs()));
     }
   }
--- a/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
+++ b/cuminvalve-gateway/src/main/java/io/cuminvalve/gateway/control/QuotaCoordinator.java
@@ -80,11 +80,11 @@
   /** Processes limits that this gateway saw begin, change or end. */
   void onSeen(List<TargetId> targets) {
     applyLimits(targets);
-    exchange.tellHolderAndDeputies(new LimitUpdate(false, quotas.reports(targets)));
+    exchange.sendToHolderAndDeputies(new LimitUpdate(false, quotas.reports(targets)));
   }
 
   /** Processes limits sent by another process. */
-  void onNews(LimitUpdate update, Consumer<FleetMessage> sender) {
+  void onUpdate(LimitUpdate update, Consumer<FleetMessage> sender) {
     applyLimits(quotas.merge(update.reports()));
     if (update.complete()) {
       exchange.onComplete(update, sender);
@@ -139,7 +139,7 @@
     if (issuer.isPresent()) {
       onRequest(process, request, this::onOwnReply);
     } else {
-      exchange.tellHolder(request);
+      exchange.sendToHolder(request);
     }
   }
 
